--- a/src/config/edge.rs
+++ b/src/config/edge.rs
@@ -15,7 +15,7 @@
 use super::{Config, ConfigError};
 use crate::door::profile::{Pace, Profile};
 use crate::door::sources::SourceLimits;
-use crate::door::{DoorSettings, GateSettings};
+use crate::door::{AdmissionSettings, ListenerSettings};
 use crate::front::Wire;
 use crate::front::msgpack::FRAME_MAX;
 use crate::front::uwsgi::UwsgiConfig;
@@ -333,37 +333,37 @@
     }
 
     /// What the door is to work with: the platform's gate, then the others in their order.
-    pub fn door(&self, config: &Config) -> DoorSettings {
+    pub fn door(&self, config: &Config) -> AdmissionSettings {
         let memory = (config.limits.memory_mb << 20) as usize;
-        let callers = GateSettings {
+        let callers = ListenerSettings {
             profile: Profile::STRICT,
-            room: self.caller_room(config.limits.sockets),
-            half_in: 2 * FRAME_MAX,
+            connections_max: self.caller_room(config.limits.sockets),
+            partial_message_max: 2 * FRAME_MAX,
         };
-        let gate = |l: &Listener| GateSettings {
+        let gate = |l: &Listener| ListenerSettings {
             profile: l.profile,
-            room: l.connections.unwrap_or(1),
-            half_in: match (&self.uwsgi, l.wire) {
+            connections_max: l.connections.unwrap_or(1),
+            partial_message_max: match (&self.uwsgi, l.wire) {
                 (Some(u), Wire::Uwsgi) => u.half_in(),
                 _ => 2 * FRAME_MAX,
             },
         };
-        let gates: Vec<GateSettings> =
+        let gates: Vec<ListenerSettings> =
             std::iter::once(callers).chain(self.listeners.iter().map(gate)).collect();
         let l = &self.limits;
         let bytes = |kb: Option<f64>, or: usize| kb.map_or(or, |kb| (kb * 1024.0) as usize);
-        let largest = gates.iter().map(|g| g.half_in).max().unwrap_or(0);
-        DoorSettings {
+        let largest = gates.iter().map(|g| g.partial_message_max).max().unwrap_or(0);
+        AdmissionSettings {
             // The eldest message must always have room to become whole.
-            half_in: bytes(l.half_in_kb, memory / 8).max(2 * largest),
-            owed: bytes(l.owed_kb, memory / 4),
+            partial_bytes_max: bytes(l.half_in_kb, memory / 8).max(2 * largest),
+            unsent_bytes_max: bytes(l.owed_kb, memory / 4),
             sources: SourceLimits {
                 connections: l.source_connections.map(|n| n as usize),
                 arrivals: l.source_arrivals.map(|r| (r, l.source_burst.unwrap_or(10.0 * r).max(1.0))),
                 prefix_v4: l.source_prefix_v4.map_or(32, |b| b as u8),
                 prefix_v6: l.source_prefix_v6.map_or(64, |b| b as u8),
             },
-            gates,
+            listeners: gates,
         }
     }
 }
--- a/src/config/knobs.rs
+++ b/src/config/knobs.rs
@@ -169,9 +169,9 @@
         "ms",
         100.0..=600_000.0,
         "a reader that takes nothing for so long is cut off",
-        |p| Some(as_ms(p.taking.stall)),
+        |p| Some(as_ms(p.send_limits.stall)),
         |p, x| {
-            p.taking.stall = ms(x);
+            p.send_limits.stall = ms(x);
             true
         }
     ),
@@ -180,9 +180,9 @@
         "ms",
         100.0..=3_600_000.0,
         "time for all that is owed to be taken; no bound if not set",
-        |p| p.taking.longest.map(as_ms),
+        |p| p.send_limits.longest.map(as_ms),
         |p, x| {
-            p.taking.longest = Some(ms(x));
+            p.send_limits.longest = Some(ms(x));
             true
         }
     ),
--- a/src/config/show.rs
+++ b/src/config/show.rs
@@ -138,9 +138,21 @@
         |way: &[&str]| edge.doc.as_ref().and_then(|d| Some(format!("{}:{}", d.path.display(), d.line(way)?)));
     all.knobs("edge.limits.", LIMITS, &edge.limits, &Limits::default(), |k| at(&["limits", k]));
     let door = edge.door(config);
-    all.add("door.half_in".into(), Some(door.half_in.to_string()), "bytes", None, "in force".into());
-    all.add("door.owed".into(), Some(door.owed.to_string()), "bytes", None, "in force".into());
-    all.add("door.callers".into(), Some(door.gates[0].room.to_string()), "", None, "in force".into());
+    all.add(
+        "door.half_in".into(),
+        Some(door.partial_bytes_max.to_string()),
+        "bytes",
+        None,
+        "in force".into(),
+    );
+    all.add("door.owed".into(), Some(door.unsent_bytes_max.to_string()), "bytes", None, "in force".into());
+    all.add(
+        "door.callers".into(),
+        Some(door.listeners[0].connections_max.to_string()),
+        "",
+        None,
+        "in force".into(),
+    );
     for (name, p) in &edge.profiles {
         let strict = at(&["profiles", name, "base"])
             .is_some_and(|_| matches!(p.pace, crate::door::profile::Pace::Fixed));
--- a/src/door/mod.rs
+++ b/src/door/mod.rs
@@ -1,12 +1,15 @@
-//! The door: who may come in, at what pace, and who makes room for whom.
+//! Connection admission: which connections are accepted, how fast each one must send and read, and which one is evicted
+//! to make room for another.
 //!
-//! It keeps an account of each connection: what it holds (bytes half in, bytes owed, a descriptor, since when) and
-//! what it has earned by making progress. It does no I/O and is told the time; each connection's driver reports to it
-//! and does what it is told, and the runtime carries out what [`Door::sweep`] says.
+//! It keeps an account of each connection: what the connection holds (bytes of an unfinished message, bytes of answers
+//! that are not sent yet, a descriptor, and since when) and the credit that it has earned by making progress. It does no
+//! I/O and is told the time; each connection's driver reports to it and follows the instruction that it returns, and the
+//! runtime carries out the commands that [`ConnectionAdmission::sweep`] returns.
 //!
-//! What it guards against: senders that trickle or stall and hold memory and descriptors meanwhile, crowds that say
-//! nothing, many connections of one source, readers that take nothing, and a clock that jumps. It closes nobody for
-//! being slow who keeps the least rate, and it never lets what is half in exceed its budget.
+//! It protects the node against senders that trickle or stall and meanwhile hold memory and descriptors, large numbers
+//! of connections that send nothing, many connections of one source, peers that do not read their answers, and a clock
+//! that jumps. It closes no connection for being slow that keeps the least rate, and the bytes of unfinished messages
+//! never exceed their budget.
 
 pub mod profile;
 pub mod sources;
@@ -18,155 +21,164 @@
 use crate::end::End;
 use crate::interface::Micros;
 use profile::Profile;
-use sources::{Excess, SourceLimits, Sources};
-pub use tab::Verdict;
-use tab::{REST_MIN, Still, Tab};
+use sources::{SourceLimitExceeded, SourceLimits, Sources};
+pub use tab::ConnectionCommand;
+use tab::{ConnectionAccount, READ_PAUSE_MIN, ReadState};
 
-/// A connection of any gate; numbers are never used again.
+/// Identifies a connection of any listener; numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
 
-/// A listener, by its place in [`DoorSettings::gates`].
+/// A listener's index in [`AdmissionSettings::listeners`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct GateId(pub usize);
-
-/// A connection that has asked nothing for this long gives way to any other.
-const MUTE: Micros = Micros::from_millis(200);
-/// Connections that are told to make room at a time when nobody can come in: room is short for a moment only.
-const GOING: usize = 4;
-/// The door's own time goes on by this much at most between two calls; the runtime calls at least each second. What
-/// goes beyond is a clock that jumped or a machine that stood still, and is charged to nobody.
-const STEP_MAX: Micros = Micros::from_millis(2_000);
-/// A look that was ordered and led to no report is ordered again after this long.
-const LOOK_AGAIN: Micros = Micros::from_millis(1_000);
-/// Who adds to its message within this time is not in the way of the budget.
-const SILENT: Micros = Micros::from_millis(1_000);
-/// Who is to make room in the budget is sought this often at most, as it takes a look at everybody.
-const SEEK: Micros = Micros::from_millis(20);
+pub struct ListenerId(pub usize);
+
+/// A connection that has submitted no request for this long is evicted before any other.
+const FIRST_REQUEST_GRACE: Micros = Micros::from_millis(200);
+/// Evictions that may be in progress at a time. The shortage that they relieve lasts only a moment.
+const PENDING_EVICTIONS_MAX: usize = 4;
+/// Largest step of the admission's own time between two calls; the runtime calls at least once a second. A larger step
+/// comes from a clock that jumped or a machine that was suspended, and is not counted as any connection's delay.
+const TIME_STEP_MAX: Micros = Micros::from_millis(2_000);
+/// A [`ConnectionCommand::ReadNow`] that led to no report is repeated after this long.
+const READ_COMMAND_RETRY: Micros = Micros::from_millis(1_000);
+/// A connection that has added to its message within this time is not evicted to free the budget.
+const MESSAGE_STALL_MIN: Micros = Micros::from_millis(1_000);
+/// Shortest time between two searches for a connection to evict, as each search visits every connection.
+const EVICTION_SEARCH_INTERVAL: Micros = Micros::from_millis(20);
 /// Bytes that are read from a connection at a time.
-pub const CHUNK: usize = 16 << 10;
-/// Bytes owed to a peer beyond which nothing more is read from it, at the least and at the most: an answer of the
-/// platform fits several times, and no peer needs more to be kept busy.
-const OWED: std::ops::RangeInclusive<usize> = 16 << 10..=256 << 10;
+pub const READ_CHUNK_BYTES: usize = 16 << 10;
+/// Lower and upper bound of the unsent bytes of one connection beyond which nothing more is read from it: the lower one
+/// holds several of the platform's answers, and no peer needs more than the upper one to be kept busy.
+const UNSENT_BYTES_PER_CONNECTION: std::ops::RangeInclusive<usize> = 16 << 10..=256 << 10;
 
-/// What a gate allows.
+/// The limits of one listener.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct GateSettings {
-    /// What is expected of those who come through it.
+pub struct ListenerSettings {
+    /// What is expected of its connections.
     pub profile: Profile,
-    /// Connections at a time, 1 or more.
-    pub room: usize,
-    /// Bytes of one half-read request: no more than a held request costs.
-    pub half_in: usize,
+    /// Concurrent connections, 1 or more.
+    pub connections_max: usize,
+    /// Bytes of one unfinished request: no more than a queued request costs.
+    pub partial_message_max: usize,
 }
 
-/// What the door works with.
+/// The settings of connection admission.
 #[derive(Clone, Debug)]
-pub struct DoorSettings {
-    /// The gates.
-    pub gates: Vec<GateSettings>,
-    /// Bytes half in, over all connections; at least the largest `half_in` of the gates.
-    pub half_in: usize,
-    /// Bytes owed to peers, over all connections.
-    pub owed: usize,
+pub struct AdmissionSettings {
+    /// The listeners.
+    pub listeners: Vec<ListenerSettings>,
+    /// Bytes of unfinished messages over all connections; at least the largest `partial_message_max` of the listeners.
+    pub partial_bytes_max: usize,
+    /// Bytes of unsent answers over all connections.
+    pub unsent_bytes_max: usize,
     /// Limits for one source.
     pub sources: SourceLimits,
 }
 
-/// What a connection's driver has to say. Figures are of now unless they say otherwise.
+/// What a connection's driver reports. Figures are current values unless stated otherwise.
 #[derive(Clone, Copy, Debug)]
-pub struct Report {
+pub struct ConnectionReport {
     /// Bytes read since the last report.
-    pub fresh: usize,
-    /// Parts of messages that have become whole since, and whole messages among them.
-    pub parts: usize,
-    /// Messages that have become whole since.
-    pub whole: usize,
-    /// Of those, the ones that the core was given.
-    pub asked: usize,
-    /// Answers that have been taken from the core since.
-    pub answered: usize,
-    /// Bytes that the peer has taken since.
-    pub taken: usize,
+    pub bytes_read: usize,
+    /// Parts of messages completed since the last report; whole messages count too.
+    pub completed_parts: usize,
+    /// Messages completed since the last report.
+    pub completed_messages: usize,
+    /// Those of them that were submitted to the core.
+    pub submitted_requests: usize,
+    /// Answers received from the core since the last report.
+    pub answers_received: usize,
+    /// Bytes that the peer has accepted since the last report.
+    pub bytes_sent: usize,
     /// Bytes of an unfinished message.
-    pub half_in: usize,
-    /// Bytes that the message still lacks, where that is known.
-    pub missing: Option<usize>,
-    /// A half-read request that is not given up to make room, under fixed patience.
-    pub sheltered: bool,
-    /// Requests open.
-    pub open: usize,
+    pub partial_bytes: usize,
+    /// Bytes that the unfinished message still lacks, where that is known.
+    pub missing_bytes: Option<usize>,
+    /// An unfinished request that is not given up to make room, under fixed patience.
+    pub is_sheltered: bool,
+    /// Requests that are not answered yet.
+    pub open_requests: usize,
     /// Bytes of answers not sent yet.
-    pub owed: usize,
-    /// The socket has been looked at since the last report.
-    pub looked: bool,
-    /// There is something to read for which the budget has no room.
-    pub blocked: bool,
-    /// This side reads nothing of its own accord.
-    pub held_back: bool,
-    /// Under fixed patience, how long the next message may take and the end if it does not come. Under progress it
-    /// only tells whether one is awaited.
+    pub unsent_bytes: usize,
+    /// The socket has been read since the last report.
+    pub was_read: bool,
+    /// The socket has data for which the budget has no room.
+    pub is_blocked: bool,
+    /// This side has stopped reading on its own initiative.
+    pub is_reading_stopped: bool,
+    /// Under fixed patience, how long the next message may take and the reason to close if it does not come. Under
+    /// progress, only whether a message is awaited.
     pub patience: Option<(Micros, End)>,
-    /// The deadline of the request's class; the longest of all while it is not known.
+    /// The deadline of the request's class; the longest of all classes while the class is not known.
     pub deadline: Micros,
 }
 
 /// What a driver does next about reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
-pub enum Order {
-    /// Read as soon as there is something, as much as [`Door::may_read`] says then.
+pub enum ReadInstruction {
+    /// Read as soon as there is data, up to [`ConnectionAdmission::read_allowance`] at that time.
     Read,
-    /// Leave the socket alone until a [`Verdict::Look`].
-    Rest,
-    /// It is over.
+    /// Do not read before a [`ConnectionCommand::ReadNow`].
+    Pause,
+    /// Close the connection.
     Close(End),
 }
 
-/// Whether a connection is taken in.
+/// Whether a new connection is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
-pub enum Admission {
-    /// It is, under that number.
-    Enter(ConnId),
-    /// It is, and another makes room for it.
-    Swap {
-        /// The new one.
-        enter: ConnId,
-        /// The one that goes.
-        goes: ConnId,
+pub enum AdmissionDecision {
+    /// It is accepted under this id.
+    Admit(ConnectionId),
+    /// It is accepted, and another connection is evicted for it.
+    Replace {
+        /// The new connection.
+        admitted: ConnectionId,
+        /// The connection to close.
+        evicted: ConnectionId,
     },
-    /// It is not.
-    Refuse(End),
+    /// It is rejected.
+    Reject(End),
 }
 
-/// What the door has counted.
+/// Counters since the process started, and high-water marks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Most bytes half in at a time.
+pub struct AdmissionCounters {
+    /// Most bytes of unfinished messages at a time.
     pub half_in_most: usize,
-    /// Most bytes owed at a time.
+    /// Most bytes of unsent answers at a time.
     pub owed_most: usize,
-    /// Rests ordered.
+    /// Pauses of slow senders.
     pub rests: u64,
-    /// Looks ordered.
+    /// [`ConnectionCommand::ReadNow`] commands issued.
     pub looks: u64,
     /// Reads held back as the budget was used up.
     pub waits: u64,
-    /// Connections that made room, told by the door.
+    /// Connections evicted by admission control.
     pub crowded: u64,
-    /// Connections not taken in as their source had its share.
+    /// Connections rejected as their source was at a limit.
     pub excess: u64,
-    /// Turns of connections' tasks.
+    /// Wake-ups of connections' tasks.
     pub wakes: u64,
-    /// Answers that were given and, as far as is known, not taken.
+    /// Answers that were given and, as far as is known, did not reach the peer.
     pub undelivered: u64,
 }
 
-impl std::fmt::Display for Tally {
+impl std::fmt::Display for AdmissionCounters {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Tally { half_in_most, owed_most, rests, looks, waits, crowded, excess, wakes, undelivered } =
-            self;
+        let AdmissionCounters {
+            half_in_most,
+            owed_most,
+            rests,
+            looks,
+            waits,
+            crowded,
+            excess,
+            wakes,
+            undelivered,
+        } = self;
         write!(
             f,
             "half_in_most={half_in_most} owed_most={owed_most} rests={rests} looks={looks} waits={waits} "
@@ -175,370 +187,425 @@
     }
 }
 
-/// The door.
+/// The admission control of all connections of one process.
 #[derive(Debug)]
-pub struct Door {
-    settings: DoorSettings,
-    owed_max: usize,
-    tabs: HashMap<ConnId, Tab>,
-    counts: Vec<usize>,
-    next: u64,
+pub struct ConnectionAdmission {
+    settings: AdmissionSettings,
+    unsent_max: usize,
+    accounts: HashMap<ConnectionId, ConnectionAccount>,
+    /// Number of connections of each listener.
+    connection_counts: Vec<usize>,
+    last_connection_id: u64,
     sources: Sources,
-    /// When each connection is to be thought of again, one entry a connection.
-    due: BTreeSet<(Micros, ConnId)>,
-    /// Messages half in, eldest first.
-    midway: BTreeSet<(Micros, ConnId)>,
-    /// Who waits for room in the budget, first come first.
-    waiting: BTreeSet<(Micros, ConnId)>,
-    half_in: usize,
-    owed: usize,
-    /// The door's own time, and the clock's when it was last told.
+    /// When each connection is to be checked again, one entry per connection.
+    deadlines: BTreeSet<(Micros, ConnectionId)>,
+    /// Connections with an unfinished message, by when it began.
+    partial_messages: BTreeSet<(Micros, ConnectionId)>,
+    /// Connections that wait for room in the budget of unfinished messages, oldest first.
+    waiting_for_budget: BTreeSet<(Micros, ConnectionId)>,
+    partial_bytes: usize,
+    unsent_bytes: usize,
+    /// The admission's own time, which advances by at most [`TIME_STEP_MAX`] per call.
     time: Micros,
-    told: Option<Micros>,
+    /// The latest clock reading passed in.
+    last_clock: Option<Micros>,
     /// When the runtime will sweep.
-    armed: Micros,
-    /// When somebody was last sought to make room in the budget.
-    sought: Option<Micros>,
-    sentenced: Vec<(ConnId, Verdict)>,
-    /// What has been counted.
-    pub tally: Tally,
+    next_sweep: Micros,
+    /// When a connection to evict was last searched for.
+    last_eviction_search: Option<Micros>,
+    /// Commands that the next sweep returns.
+    pending_commands: Vec<(ConnectionId, ConnectionCommand)>,
+    /// Counters for the log and the console.
+    pub counters: AdmissionCounters,
 }
 
-impl Door {
-    /// An empty house.
-    pub fn new(settings: DoorSettings) -> Door {
-        let room: usize = settings.gates.iter().map(|g| g.room).sum();
-        Door {
-            owed_max: (settings.owed / room.max(1)).clamp(*OWED.start(), *OWED.end()),
-            counts: vec![0; settings.gates.len()],
+impl ConnectionAdmission {
+    /// Admission control without connections.
+    pub fn new(settings: AdmissionSettings) -> ConnectionAdmission {
+        let connections_max: usize = settings.listeners.iter().map(|listener| listener.connections_max).sum();
+        ConnectionAdmission {
+            unsent_max: (settings.unsent_bytes_max / connections_max.max(1))
+                .clamp(*UNSENT_BYTES_PER_CONNECTION.start(), *UNSENT_BYTES_PER_CONNECTION.end()),
+            connection_counts: vec![0; settings.listeners.len()],
             sources: Sources::new(settings.sources),
             settings,
-            tabs: HashMap::new(),
-            next: 0,
-            due: BTreeSet::new(),
-            midway: BTreeSet::new(),
-            waiting: BTreeSet::new(),
-            half_in: 0,
-            owed: 0,
+            accounts: HashMap::new(),
+            last_connection_id: 0,
+            deadlines: BTreeSet::new(),
+            partial_messages: BTreeSet::new(),
+            waiting_for_budget: BTreeSet::new(),
+            partial_bytes: 0,
+            unsent_bytes: 0,
             time: Micros(0),
-            told: None,
-            armed: Micros(0),
-            sought: None,
-            sentenced: Vec::new(),
-            tally: Tally::default(),
+            last_clock: None,
+            next_sweep: Micros(0),
+            last_eviction_search: None,
+            pending_commands: Vec::new(),
+            counters: AdmissionCounters::default(),
         }
     }
 
-    /// Bytes owed to one peer beyond which nothing more is read from it.
-    pub fn owed_max(&self) -> usize {
-        self.owed_max
+    /// Unsent bytes of one connection beyond which nothing more is read from it.
+    pub fn unsent_max(&self) -> usize {
+        self.unsent_max
     }
 
-    /// Connections.
+    /// Number of connections.
     pub fn len(&self) -> usize {
-        self.tabs.len()
+        self.accounts.len()
     }
 
-    /// Whether nobody is there.
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
-        self.tabs.is_empty()
+        self.accounts.is_empty()
     }
 
-    /// Bytes half in and bytes owed.
-    pub fn holds(&self) -> (usize, usize) {
-        (self.half_in, self.owed)
+    /// Bytes of unfinished messages and bytes of unsent answers, over all connections.
+    pub fn buffered_bytes(&self) -> (usize, usize) {
+        (self.partial_bytes, self.unsent_bytes)
     }
 
-    /// Sources known.
-    pub fn sources(&self) -> usize {
+    /// Number of sources that are remembered.
+    pub fn source_count(&self) -> usize {
         self.sources.len()
     }
 
-    /// The profile of a gate.
-    pub fn profile(&self, gate: GateId) -> &Profile {
-        &self.settings.gates[gate.0].profile
+    /// The profile of a listener.
+    pub fn profile(&self, listener: ListenerId) -> &Profile {
+        &self.settings.listeners[listener.0].profile
     }
 
-    fn tick(&mut self, now: Micros) -> Micros {
-        let last = self.told.unwrap_or(now);
-        self.time = self.time + (now - last).min(STEP_MAX);
-        self.told = Some(last.max(now));
+    /// Advances the admission's own time to a clock reading and returns it.
+    fn advance_time(&mut self, now: Micros) -> Micros {
+        let last = self.last_clock.unwrap_or(now);
+        self.time = self.time + (now - last).min(TIME_STEP_MAX);
+        self.last_clock = Some(last.max(now));
         self.time
     }
 
-    /// A connection wants to come in through a gate.
-    pub fn admit(&mut self, now: Micros, gate: GateId, from: IpAddr) -> Admission {
-        let now = self.tick(now);
-        let source = self.sources.of(from);
-        let excess = self.sources.may_enter(now, source).err();
-        let full = self.counts[gate.0] >= self.settings.gates[gate.0].room;
-        let goes = match (excess, full) {
-            (Some(Excess::Arrivals), _) => {
-                self.tally.excess += 1;
-                return Admission::Refuse(End::Excess);
+    /// Decides about a new connection of a listener.
+    pub fn admit(&mut self, now: Micros, listener: ListenerId, from: IpAddr) -> AdmissionDecision {
+        let now = self.advance_time(now);
+        let source = self.sources.source_of(from);
+        let exceeded = self.sources.check_limits(now, source).err();
+        let is_full =
+            self.connection_counts[listener.0] >= self.settings.listeners[listener.0].connections_max;
+        let evicted = match (exceeded, is_full) {
+            (Some(SourceLimitExceeded::Arrivals), _) => {
+                self.counters.excess += 1;
+                return AdmissionDecision::Reject(End::Excess);
             }
-            // One of its own goes, or it does not come in.
-            (Some(Excess::Connections), _) => match self.first_to_go(now, false, |t| t.source == source) {
-                Some(goes) => Some(goes),
-                None => {
-                    self.tally.excess += 1;
-                    return Admission::Refuse(End::Excess);
+            // A connection of the same source is evicted, or the new one is rejected.
+            (Some(SourceLimitExceeded::Connections), _) => {
+                match self.eviction_candidate(now, false, |account| account.source == source) {
+                    Some(evicted) => Some(evicted),
+                    None => {
+                        self.counters.excess += 1;
+                        return AdmissionDecision::Reject(End::Excess);
+                    }
                 }
-            },
-            (None, true) => match self.first_to_go(now, false, |t| t.gate == gate) {
-                Some(goes) => Some(goes),
-                // All are waiting for an answer: refusing this one at once tells its caller to go elsewhere.
-                None => return Admission::Refuse(End::Crowded),
+            }
+            (None, true) => match self.eviction_candidate(now, false, |account| account.listener == listener)
+            {
+                Some(evicted) => Some(evicted),
+                // All are waiting for an answer: an immediate rejection tells the caller to use another node.
+                None => return AdmissionDecision::Reject(End::Crowded),
             },
             (None, false) => None,
         };
-        self.sources.enter(now, source);
-        self.next += 1;
-        let enter = ConnId(self.next);
-        let profile = self.settings.gates[gate.0].profile;
-        self.tabs.insert(enter, Tab::new(now, gate, source, profile));
-        self.counts[gate.0] += 1;
-        match goes {
-            Some(goes) => {
-                self.show_out(goes);
-                Admission::Swap { enter, goes }
+        self.sources.connection_opened(now, source);
+        self.last_connection_id += 1;
+        let admitted = ConnectionId(self.last_connection_id);
+        let profile = self.settings.listeners[listener.0].profile;
+        self.accounts.insert(admitted, ConnectionAccount::new(now, listener, source, profile));
+        self.connection_counts[listener.0] += 1;
+        match evicted {
+            Some(evicted) => {
+                self.mark_evicted(evicted);
+                AdmissionDecision::Replace { admitted, evicted }
             }
-            None => Admission::Enter(enter),
+            None => AdmissionDecision::Admit(admitted),
         }
     }
 
-    /// Nobody can come in through a gate before somebody goes, for want of descriptors: who is to go. Who has just
-    /// come in may be about to ask and stays.
-    pub fn full(&mut self, now: Micros, gate: GateId) -> Vec<ConnId> {
-        let now = self.tick(now);
-        let going = self.tabs.values().filter(|t| t.leaving).count();
-        let mut all = Vec::new();
-        for _ in going..GOING {
-            let Some(goes) = self.first_to_go(now, true, |t| t.gate == gate) else { break };
-            self.show_out(goes);
-            all.push(goes);
+    /// Chooses the connections to close when a listener can accept none for want of descriptors. A connection that was
+    /// just accepted may be about to submit a request and stays.
+    pub fn evict_for_listener(&mut self, now: Micros, listener: ListenerId) -> Vec<ConnectionId> {
+        let now = self.advance_time(now);
+        let pending = self.accounts.values().filter(|account| account.is_evicted).count();
+        let mut all_evicted = Vec::new();
+        for _ in pending..PENDING_EVICTIONS_MAX {
+            let Some(evicted) = self.eviction_candidate(now, true, |account| account.listener == listener)
+            else {
+                break;
+            };
+            self.mark_evicted(evicted);
+            all_evicted.push(evicted);
         }
-        all
+        all_evicted
     }
 
-    fn first_to_go(&self, now: Micros, spare_new: bool, of: impl Fn(&Tab) -> bool) -> Option<ConnId> {
-        let all = self.tabs.iter().filter(|(_, t)| of(t));
-        all.filter_map(|(id, t)| t.place(now, MUTE, spare_new, *id)).min().map(|p| p.2)
+    fn eviction_candidate(
+        &self,
+        now: Micros,
+        spare_new: bool,
+        is_eligible: impl Fn(&ConnectionAccount) -> bool,
+    ) -> Option<ConnectionId> {
+        let eligible = self.accounts.iter().filter(|(_, account)| is_eligible(account));
+        eligible
+            .filter_map(|(id, account)| account.eviction_order(now, FIRST_REQUEST_GRACE, spare_new, *id))
+            .min()
+            .map(|order| order.2)
     }
 
-    fn show_out(&mut self, id: ConnId) {
-        self.tally.crowded += 1;
-        if let Some(t) = self.tabs.get_mut(&id) {
-            t.leaving = true;
+    fn mark_evicted(&mut self, id: ConnectionId) {
+        self.counters.crowded += 1;
+        if let Some(account) = self.accounts.get_mut(&id) {
+            account.is_evicted = true;
         }
     }
 
-    /// A connection reports; what it is to do about reading.
-    pub fn report(&mut self, now: Micros, id: ConnId, report: &Report) -> Order {
-        let now = self.tick(now);
-        let Some(mut tab) = self.tabs.remove(&id) else { return Order::Close(End::Crowded) };
-        self.half_in = self.half_in + report.half_in - tab.half_in;
-        self.owed = self.owed + report.owed - tab.owed;
-        self.tally.half_in_most = self.tally.half_in_most.max(self.half_in);
-        self.tally.owed_most = self.tally.owed_most.max(self.owed);
-        if let Some(begun) = tab.begun {
-            self.midway.remove(&(begun, id));
-            self.waiting.remove(&(begun, id));
+    /// Takes a connection's report and tells its driver whether to read.
+    pub fn report(&mut self, now: Micros, id: ConnectionId, report: &ConnectionReport) -> ReadInstruction {
+        let now = self.advance_time(now);
+        let Some(mut account) = self.accounts.remove(&id) else {
+            return ReadInstruction::Close(End::Crowded);
+        };
+        self.partial_bytes = self.partial_bytes + report.partial_bytes - account.partial_bytes;
+        self.unsent_bytes = self.unsent_bytes + report.unsent_bytes - account.unsent_bytes;
+        self.counters.half_in_most = self.counters.half_in_most.max(self.partial_bytes);
+        self.counters.owed_most = self.counters.owed_most.max(self.unsent_bytes);
+        if let Some(started_at) = account.message_started_at {
+            self.partial_messages.remove(&(started_at, id));
+            self.waiting_for_budget.remove(&(started_at, id));
         }
-        tab.note(now, report);
-        if let Some(begun) = tab.begun {
-            self.midway.insert((begun, id));
+        account.apply_report(now, report);
+        if let Some(started_at) = account.message_started_at {
+            self.partial_messages.insert((started_at, id));
         }
-        let order = self.order(now, id, &mut tab, report);
-        self.schedule(id, &mut tab);
-        self.tabs.insert(id, tab);
-        self.make_way(now);
-        self.lighten(now);
-        order
+        let instruction = self.read_instruction(now, id, &mut account, report);
+        self.schedule(id, &mut account);
+        self.accounts.insert(id, account);
+        self.free_partial_budget(now);
+        self.free_unsent_budget(now);
+        instruction
     }
 
-    fn order(&mut self, now: Micros, id: ConnId, tab: &mut Tab, r: &Report) -> Order {
-        match tab.still {
-            // Whatever else woke it, its rest goes on; else what wakes it often would put off its look for ever.
-            Still::Resting(until) if !r.looked && until > now && tab.begun.is_some() => return Order::Rest,
-            _ => tab.still = Still::No,
+    fn read_instruction(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        account: &mut ConnectionAccount,
+        report: &ConnectionReport,
+    ) -> ReadInstruction {
+        match account.read_state {
+            // Another event does not end the pause; else frequent events would postpone the read for ever.
+            ReadState::Paused(until)
+                if !report.was_read && until > now && account.message_started_at.is_some() =>
+            {
+                return ReadInstruction::Pause;
+            }
+            _ => account.read_state = ReadState::Active,
         }
-        let room = self.allowance(id, tab);
-        if room == 0 && tab.half_in >= self.settings.gates[tab.gate.0].half_in {
-            return Order::Close(End::Oversized);
+        let allowance = self.allowance_of(id, account);
+        let message_max = self.settings.listeners[account.listener.0].partial_message_max;
+        if allowance == 0 && account.partial_bytes >= message_max {
+            return ReadInstruction::Close(End::Oversized);
         }
-        if room == 0 && r.blocked {
-            self.tally.waits += 1;
-            tab.still = Still::Waiting;
-            self.waiting.insert((tab.begun.unwrap_or(now), id));
-            return Order::Rest;
+        if allowance == 0 && report.is_blocked {
+            self.counters.waits += 1;
+            account.read_state = ReadState::WaitingForBudget;
+            self.waiting_for_budget.insert((account.message_started_at.unwrap_or(now), id));
+            return ReadInstruction::Pause;
         }
-        if tab.is_broke(now) && !r.held_back {
-            // Only what was looked for and did not come is held against a sender.
-            if r.looked {
-                return Order::Close(End::Slow);
+        if account.is_credit_exhausted(now) && !report.is_reading_stopped {
+            // A sender is slow only if the socket was read and the data was not there.
+            if report.was_read {
+                return ReadInstruction::Close(End::Slow);
             }
-            tab.still = Still::Resting(now);
-            return Order::Rest;
+            account.read_state = ReadState::Paused(now);
+            return ReadInstruction::Pause;
         }
-        if let Some(span) = tab.rest(now).filter(|_| !r.held_back) {
-            self.tally.rests += 1;
-            tab.still = Still::Resting(now + span);
-            return Order::Rest;
+        if let Some(pause) = account.read_pause(now).filter(|_| !report.is_reading_stopped) {
+            self.counters.rests += 1;
+            account.read_state = ReadState::Paused(now + pause);
+            return ReadInstruction::Pause;
         }
-        if room == 0 {
-            // Whether it has anything to say is not known; the next look tells.
-            tab.still = Still::Resting(now + REST_MIN);
-            return Order::Rest;
+        if allowance == 0 {
+            // Whether the socket has data is not known before the next read.
+            account.read_state = ReadState::Paused(now + READ_PAUSE_MIN);
+            return ReadInstruction::Pause;
         }
-        Order::Read
+        ReadInstruction::Read
     }
 
-    /// Bytes that may be read from a connection at this moment.
-    pub fn may_read(&self, id: ConnId) -> usize {
-        self.tabs.get(&id).map_or(0, |t| self.allowance(id, t))
+    /// Bytes that may be read from a connection now.
+    pub fn read_allowance(&self, id: ConnectionId) -> usize {
+        self.accounts.get(&id).map_or(0, |account| self.allowance_of(id, account))
     }
 
-    /// Bytes that may be read from a connection now, so that what is half in stays within the budget. One message's
-    /// worth of the budget is left to the eldest message, so that there is always one that can become whole.
-    fn allowance(&self, id: ConnId, tab: &Tab) -> usize {
-        let gate = self.settings.gates[tab.gate.0].half_in;
-        let reserve = self.settings.gates.iter().map(|g| g.half_in).max().unwrap_or(0);
-        let eldest = self.midway.first().is_none_or(|(_, first)| *first == id);
-        let budget =
-            if eldest { self.settings.half_in } else { self.settings.half_in.saturating_sub(reserve) };
-        let own = gate.saturating_sub(tab.half_in);
-        own.min(budget.saturating_sub(self.half_in)).min(CHUNK)
+    /// Bytes that may be read from a connection now, so that unfinished messages stay within their budget. A part of the
+    /// budget as large as the largest message is reserved for the oldest message, so that one can always be completed.
+    fn allowance_of(&self, id: ConnectionId, account: &ConnectionAccount) -> usize {
+        let message_max = self.settings.listeners[account.listener.0].partial_message_max;
+        let reserve =
+            self.settings.listeners.iter().map(|listener| listener.partial_message_max).max().unwrap_or(0);
+        let is_oldest = self.partial_messages.first().is_none_or(|(_, first)| *first == id);
+        let budget = if is_oldest {
+            self.settings.partial_bytes_max
+        } else {
+            self.settings.partial_bytes_max.saturating_sub(reserve)
+        };
+        let message_rest = message_max.saturating_sub(account.partial_bytes);
+        message_rest.min(budget.saturating_sub(self.partial_bytes)).min(READ_CHUNK_BYTES)
     }
 
-    /// Where somebody waits for room in the budget: whoever holds most of it for longest without adding to its message
-    /// makes some; and who waits is looked at as soon as there is some.
-    fn make_way(&mut self, now: Micros) {
-        let Some(&(begun, first)) = self.waiting.first() else { return };
-        let room = self.tabs.get(&first).map_or(0, |t| self.allowance(first, t));
-        if room > 0 {
-            self.waiting.remove(&(begun, first));
-            if let Some(mut tab) = self.tabs.remove(&first) {
-                tab.resume(now);
-                self.schedule(first, &mut tab);
-                self.tabs.insert(first, tab);
+    /// Where a connection waits for room in the budget of unfinished messages: resumes it if there is room, else evicts
+    /// the connection whose bytes held, times how long its message has not grown, are the most.
+    fn free_partial_budget(&mut self, now: Micros) {
+        let Some(&(started_at, first)) = self.waiting_for_budget.first() else { return };
+        let allowance = self.accounts.get(&first).map_or(0, |account| self.allowance_of(first, account));
+        if allowance > 0 {
+            self.waiting_for_budget.remove(&(started_at, first));
+            if let Some(mut account) = self.accounts.remove(&first) {
+                account.resume_reading(now);
+                self.schedule(first, &mut account);
+                self.accounts.insert(first, account);
             }
             return;
         }
-        if !self.seek(now) {
+        if !self.may_search_for_eviction(now) {
             return;
         }
-        let all = self.tabs.iter().filter_map(|(id, t)| Some((t.weight(now, SILENT)?, *id)));
-        if let Some((_, goes)) = all.max() {
-            self.show_out(goes);
-            self.sentenced.push((goes, Verdict::Close(End::Crowded)));
+        let weights = self
+            .accounts
+            .iter()
+            .filter_map(|(id, account)| Some((account.eviction_weight(now, MESSAGE_STALL_MIN)?, *id)));
+        if let Some((_, evicted)) = weights.max() {
+            self.mark_evicted(evicted);
+            self.pending_commands.push((evicted, ConnectionCommand::Close(End::Crowded)));
         }
     }
 
-    /// Where more is owed than there is room for: the reader that has taken nothing for longest is cut off.
-    fn lighten(&mut self, now: Micros) {
-        if self.owed <= self.settings.owed || !self.seek(now) {
+    /// Where the budget of unsent answers is exceeded: closes the connection whose peer has accepted nothing for longest.
+    fn free_unsent_budget(&mut self, now: Micros) {
+        if self.unsent_bytes <= self.settings.unsent_bytes_max || !self.may_search_for_eviction(now) {
             return;
         }
-        let readers = self.tabs.iter().filter(|(_, t)| t.owed > 0 && !t.leaving);
-        let worst = readers.min_by_key(|(id, t)| (t.taken, usize::MAX - t.owed, **id)).map(|(id, _)| *id);
-        if let Some(worst) = worst {
-            self.show_out(worst);
-            self.sentenced.push((worst, Verdict::Close(End::Stalled)));
+        let readers =
+            self.accounts.iter().filter(|(_, account)| account.unsent_bytes > 0 && !account.is_evicted);
+        let slowest = readers
+            .min_by_key(|(id, account)| (account.last_send_progress, usize::MAX - account.unsent_bytes, **id))
+            .map(|(id, _)| *id);
+        if let Some(slowest) = slowest {
+            self.mark_evicted(slowest);
+            self.pending_commands.push((slowest, ConnectionCommand::Close(End::Stalled)));
         }
     }
 
-    /// Whether it is time to look at everybody again, and not too many are on their way out.
-    fn seek(&mut self, now: Micros) -> bool {
-        if self.sought.is_some_and(|s| now < s + SEEK) {
+    /// Whether the search interval has passed and fewer than [`PENDING_EVICTIONS_MAX`] evictions are in progress.
+    fn may_search_for_eviction(&mut self, now: Micros) -> bool {
+        if self.last_eviction_search.is_some_and(|last| now < last + EVICTION_SEARCH_INTERVAL) {
             return false;
         }
-        self.sought = Some(now);
-        self.tabs.values().filter(|t| t.leaving).count() < GOING
+        self.last_eviction_search = Some(now);
+        self.accounts.values().filter(|account| account.is_evicted).count() < PENDING_EVICTIONS_MAX
     }
 
-    fn schedule(&mut self, id: ConnId, tab: &mut Tab) {
-        let next = tab.next();
-        // An entry that comes too early is looked at and put off; moving it at each byte would cost more.
-        if next.is_some_and(|n| tab.due.is_none_or(|d| n < d)) {
-            if let Some(old) = tab.due.take() {
-                self.due.remove(&(old, id));
+    fn schedule(&mut self, id: ConnectionId, account: &mut ConnectionAccount) {
+        let next = account.next_deadline();
+        // An entry that comes too early is checked and rescheduled; moving it at each byte would cost more.
+        if next.is_some_and(|next| account.scheduled_at.is_none_or(|scheduled| next < scheduled)) {
+            if let Some(old) = account.scheduled_at.take() {
+                self.deadlines.remove(&(old, id));
             }
-            tab.due = next;
-            self.due.extend(next.map(|n| (n, id)));
+            account.scheduled_at = next;
+            self.deadlines.extend(next.map(|next| (next, id)));
         }
     }
 
-    fn put_off(&mut self, id: ConnId, tab: &mut Tab, least: Micros) {
-        tab.due = tab.next().map(|n| n.max(least));
-        self.due.extend(tab.due.map(|d| (d, id)));
+    /// Schedules a connection's next check, no earlier than `earliest`.
+    fn reschedule(&mut self, id: ConnectionId, account: &mut ConnectionAccount, earliest: Micros) {
+        account.scheduled_at = account.next_deadline().map(|next| next.max(earliest));
+        self.deadlines.extend(account.scheduled_at.map(|scheduled| (scheduled, id)));
     }
 
-    /// How long until [`Door::sweep`] is to be called, from the last time that the door was told; a second at most.
-    pub fn wait(&mut self) -> Micros {
-        let sentenced = (!self.sentenced.is_empty()).then_some(self.time);
-        let first = sentenced.or(self.due.first().map(|d| d.0)).unwrap_or(self.time + LOOK_AGAIN);
-        self.armed = first.min(self.time + LOOK_AGAIN);
-        self.armed - self.time
+    /// How long until [`ConnectionAdmission::sweep`] is to be called, from the last call that passed the time; at most
+    /// one second.
+    pub fn time_until_sweep(&mut self) -> Micros {
+        let immediate = (!self.pending_commands.is_empty()).then_some(self.time);
+        let first = immediate
+            .or(self.deadlines.first().map(|deadline| deadline.0))
+            .unwrap_or(self.time + READ_COMMAND_RETRY);
+        self.next_sweep = first.min(self.time + READ_COMMAND_RETRY);
+        self.next_sweep - self.time
     }
 
-    /// Whether [`Door::sweep`] is to be called sooner than [`Door::wait`] said.
-    pub fn early(&self) -> bool {
-        !self.sentenced.is_empty() || self.due.first().is_some_and(|d| d.0 < self.armed)
+    /// Whether [`ConnectionAdmission::sweep`] is to be called sooner than [`ConnectionAdmission::time_until_sweep`]
+    /// returned.
+    pub fn needs_earlier_sweep(&self) -> bool {
+        !self.pending_commands.is_empty()
+            || self.deadlines.first().is_some_and(|deadline| deadline.0 < self.next_sweep)
     }
 
-    /// What has fallen due: whom to look at and whom to close.
-    pub fn sweep(&mut self, now: Micros) -> Vec<(ConnId, Verdict)> {
-        let now = self.tick(now);
-        self.make_way(now);
-        let mut all = std::mem::take(&mut self.sentenced);
-        while let Some(&(when, id)) = self.due.first() {
+    /// Checks the connections that have fallen due and returns the commands for them.
+    pub fn sweep(&mut self, now: Micros) -> Vec<(ConnectionId, ConnectionCommand)> {
+        let now = self.advance_time(now);
+        self.free_partial_budget(now);
+        let mut commands = std::mem::take(&mut self.pending_commands);
+        while let Some(&(when, id)) = self.deadlines.first() {
             if when > now {
                 break;
             }
-            self.due.pop_first();
-            let Some(mut tab) = self.tabs.remove(&id) else { continue };
-            tab.due = None;
-            match tab.verdict(now) {
-                Some(Verdict::Look) => {
-                    self.tally.looks += 1;
-                    // Should the look get lost, it is ordered again.
-                    tab.still = Still::Resting(now + LOOK_AGAIN);
-                    self.put_off(id, &mut tab, now + LOOK_AGAIN);
-                    all.push((id, Verdict::Look));
+            self.deadlines.pop_first();
+            let Some(mut account) = self.accounts.remove(&id) else { continue };
+            account.scheduled_at = None;
+            match account.due_command(now) {
+                Some(ConnectionCommand::ReadNow) => {
+                    self.counters.looks += 1;
+                    // A command that gets lost is issued again.
+                    account.read_state = ReadState::Paused(now + READ_COMMAND_RETRY);
+                    self.reschedule(id, &mut account, now + READ_COMMAND_RETRY);
+                    commands.push((id, ConnectionCommand::ReadNow));
                 }
-                Some(close) => all.push((id, close)),
-                // Nothing that is put off comes back in the same instant.
-                None => self.put_off(id, &mut tab, now + REST_MIN),
+                Some(close) => commands.push((id, close)),
+                // The minimum delay keeps a rescheduled entry from falling due again in this sweep.
+                None => self.reschedule(id, &mut account, now + READ_PAUSE_MIN),
             }
-            self.tabs.insert(id, tab);
+            self.accounts.insert(id, account);
         }
-        all
+        commands
     }
 
-    /// The module wants connections closed that have carried nothing for this long: those that may be meant.
-    pub fn idle(&mut self, now: Micros, span: Micros) -> Vec<ConnId> {
-        let now = self.tick(now);
-        let idle = |t: &Tab| t.since + span <= now && t.half_in == 0 && t.open == 0 && t.owed == 0;
-        self.tabs.iter().filter(|(_, t)| idle(t)).map(|(id, _)| *id).collect()
+    /// The connections without activity for `span` that hold neither an unfinished message, an open request nor unsent
+    /// bytes: those that the decision module may mean when it has idle connections closed.
+    pub fn idle_connections(&mut self, now: Micros, span: Micros) -> Vec<ConnectionId> {
+        let now = self.advance_time(now);
+        let is_idle = |account: &ConnectionAccount| {
+            account.last_activity + span <= now
+                && account.partial_bytes == 0
+                && account.open_requests == 0
+                && account.unsent_bytes == 0
+        };
+        self.accounts.iter().filter(|(_, account)| is_idle(account)).map(|(id, _)| *id).collect()
     }
 
-    /// A connection is over, with so many answers that were not taken.
-    pub fn left(&mut self, now: Micros, id: ConnId, undelivered: u64) {
-        let now = self.tick(now);
-        self.tally.undelivered += undelivered;
-        let Some(tab) = self.tabs.remove(&id) else { return };
-        self.half_in -= tab.half_in;
-        self.owed -= tab.owed;
-        self.counts[tab.gate.0] -= 1;
-        self.sources.leave(now, tab.source);
-        if let Some(begun) = tab.begun {
-            self.midway.remove(&(begun, id));
-            self.waiting.remove(&(begun, id));
+    /// Removes a connection that has closed, with the number of its answers that did not reach the peer.
+    pub fn connection_closed(&mut self, now: Micros, id: ConnectionId, undelivered: u64) {
+        let now = self.advance_time(now);
+        self.counters.undelivered += undelivered;
+        let Some(account) = self.accounts.remove(&id) else { return };
+        self.partial_bytes -= account.partial_bytes;
+        self.unsent_bytes -= account.unsent_bytes;
+        self.connection_counts[account.listener.0] -= 1;
+        self.sources.connection_closed(now, account.source);
+        if let Some(started_at) = account.message_started_at {
+            self.partial_messages.remove(&(started_at, id));
+            self.waiting_for_budget.remove(&(started_at, id));
         }
-        if let Some(due) = tab.due {
-            self.due.remove(&(due, id));
+        if let Some(scheduled) = account.scheduled_at {
+            self.deadlines.remove(&(scheduled, id));
         }
-        self.make_way(now);
+        self.free_partial_budget(now);
     }
 }
--- a/src/door/profile.rs
+++ b/src/door/profile.rs
@@ -1,20 +1,20 @@
-//! What a door expects of those who come through a gate: one profile a gate.
+//! What connection admission expects of the connections of a listener: one profile per listener.
 
 use crate::interface::Micros;
 
-/// How long a message may take to come in.
+/// How long a message may take to arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Pace {
-    /// The fixed patience that the front's session states, as the platform's protocol wants it.
+    /// The fixed patience that the front's session states, as the platform's protocol requires.
     Fixed,
-    /// By progress: a message may take its time as long as it comes in at a least rate.
+    /// By progress: a message may take long as long as it arrives at a least rate.
     Progress(Progress),
 }
 
 /// The terms of [`Pace::Progress`].
 ///
 /// A sender starts a message with a credit of `least_rate * grace` bytes. Each byte that comes adds one, each second
-/// takes `least_rate` away, and the credit never stands above `least_rate * burst`. Who has none left is closed.
+/// subtracts `least_rate`, and the credit never exceeds `least_rate * burst`. A connection without credit is closed.
 /// So a sender that keeps the least rate in every span as long as the grace is never closed before `longest`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Progress {
@@ -27,60 +27,59 @@
     /// A message may take this many times its class's deadline, 0.1 to 100. A class that is not known yet counts as
     /// the one with the longest deadline.
     pub longest: f64,
-    /// How long a connection may say nothing before its first byte, 0.1 to 600 s.
+    /// How long a connection may send nothing before its first byte, 0.1 to 600 s.
     pub silence: Micros,
-    /// How long a slow sender's socket is left alone between two looks at it, up to 30 s; 0 reads every byte as it
-    /// comes. Where a message tells its length the look comes when it should be whole; where it does not, after a
-    /// quarter of this.
+    /// The longest time between two reads of a slow sender's socket, up to 30 s; 0 reads every byte as it comes. Where
+    /// a message states its length it is read when it should be complete; where it does not, after a quarter of this.
     pub rest: Micros,
 }
 
-/// How answers are taken.
+/// How fast a peer must accept its answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Taking {
-    /// A peer that takes no byte for this long is cut off, 0.1 to 600 s.
+pub struct SendLimits {
+    /// A peer that accepts no byte for this long is disconnected, 0.1 to 600 s.
     pub stall: Micros,
-    /// How long all that is owed to a peer may take to be sent, from the moment something is; none sets no bound.
+    /// How long all unsent bytes may take to be sent, from when there first are any; `None` sets no bound.
     pub longest: Option<Micros>,
 }
 
-/// How a peer that went without a word is found by the system: keepalive probes while nothing is sent, and the user
-/// time-out (RFC 5482) while something is.
+/// How the operating system detects a peer that vanished without closing: keepalive probes while nothing is sent, and
+/// the TCP user timeout (RFC 5482) while data is unacknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Liveness {
-    /// Silence before the first probe, and between two, 1 to 3,600 s.
+    /// Silence before the first probe, and the interval between probes, 1 to 3,600 s.
     pub probe: Micros,
     /// Unacknowledged bytes or probes end the connection after this long, 1 to 3,600 s.
     pub timeout: Micros,
 }
 
-/// What is expected of the connections of one gate.
+/// What is expected of the connections of one listener.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Profile {
-    /// Of senders.
+    /// How long a message may take to arrive.
     pub pace: Pace,
-    /// Of readers.
-    pub taking: Taking,
-    /// Whether and how the system looks for peers that are gone.
+    /// How fast a peer must accept its answers.
+    pub send_limits: SendLimits,
+    /// Whether and how the operating system detects vanished peers.
     pub liveness: Option<Liveness>,
-    /// The system's own buffer for what is sent, bytes; none leaves it to the system. A small one makes the pace at
-    /// which a peer takes its answer show here, and bounds what a slow reader holds in the system.
+    /// The socket's send buffer, bytes; `None` leaves it to the operating system. A small one lets this process see how
+    /// fast a peer accepts its answer, and bounds the kernel memory that a slow reader holds.
     pub send_buffer: Option<usize>,
-    /// How long to wait for the peer's own close once all is sent, so that no reset overtakes the last answer.
+    /// How long to wait for the peer's close once all is sent, so that no reset discards the last answer.
     pub linger: Micros,
 }
 
 impl Profile {
-    /// The platform's terms, exactly: fixed patience, 15 s for a stalled reader, nothing asked of the system.
+    /// Exactly the platform's terms: fixed patience, 15 s for a stalled reader, no socket options.
     pub const STRICT: Profile = Profile {
         pace: Pace::Fixed,
-        taking: Taking { stall: Micros::from_millis(15_000), longest: None },
+        send_limits: SendLimits { stall: Micros::from_millis(15_000), longest: None },
         liveness: None,
         send_buffer: None,
         linger: Micros::from_millis(150),
     };
 
-    /// For links that the operator calls poor.
+    /// For links that the operator declares poor.
     pub const PATIENT: Profile = Profile {
         pace: Pace::Progress(Progress {
             least_rate: 30,
@@ -90,7 +89,10 @@
             silence: Micros::from_millis(5_000),
             rest: Micros::from_millis(4_000),
         }),
-        taking: Taking { stall: Micros::from_millis(20_000), longest: Some(Micros::from_millis(120_000)) },
+        send_limits: SendLimits {
+            stall: Micros::from_millis(20_000),
+            longest: Some(Micros::from_millis(120_000)),
+        },
         liveness: Some(Liveness { probe: Micros::from_millis(10_000), timeout: Micros::from_millis(30_000) }),
         send_buffer: Some(32 << 10),
         linger: Micros::from_millis(2_000),
@@ -99,7 +101,7 @@
     pub(super) fn progress(&self) -> Option<&Progress> {
         match &self.pace {
             Pace::Fixed => None,
-            Pace::Progress(p) => Some(p),
+            Pace::Progress(progress) => Some(progress),
         }
     }
 }
--- a/src/door/tab.rs
+++ b/src/door/tab.rs
@@ -1,316 +1,355 @@
-//! The account of one connection: what it holds, what it has earned, and until when it may go on so.
+//! The account of one connection: what it holds, the credit that it has earned, and its deadlines.
 
 use super::profile::{Pace, Profile, Progress};
 use super::sources::Source;
-use super::{ConnId, GateId, Report};
+use super::{ConnectionId, ConnectionReport, ListenerId};
 use crate::end::End;
 use crate::interface::Micros;
 
-/// Credit is kept in bytes times microseconds, so that a rate times a span needs no rounding.
-const UNIT: i64 = 1_000_000;
-/// A sender at this rate or above is read as it sends: its message is whole within moments.
-const FAST: u64 = 8 << 10;
-/// A sender is read as it sends for this long before it may be found slow.
-const TRIAL: Micros = Micros::from_millis(500);
-/// The shortest rest: a look more often would save nothing.
-pub(super) const REST_MIN: Micros = Micros::from_millis(50);
+/// Credit per byte. Credit is kept in bytes times microseconds, so that a rate times a span needs no rounding.
+const CREDIT_PER_BYTE: i64 = 1_000_000;
+/// A sender at this rate or above, bytes per second, is read as it sends: its message is complete within moments.
+const FAST_SENDER_RATE: u64 = 8 << 10;
+/// A sender is read as it sends for this long before its rate is judged.
+const RATE_MEASUREMENT_MIN: Micros = Micros::from_millis(500);
+/// The shortest pause between two reads of a slow sender: reading more often would save no wake-ups.
+pub(super) const READ_PAUSE_MIN: Micros = Micros::from_millis(50);
 
-/// Why a sender is not read for now.
+/// Whether a connection is read, and if not, why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Still {
+pub(super) enum ReadState {
     /// It is read as it sends.
-    No,
-    /// It is slow, and is looked at at that time.
-    Resting(Micros),
-    /// There is no room for what it sends.
-    Waiting,
+    Active,
+    /// The sender is slow, and its socket is read at this time.
+    Paused(Micros),
+    /// The budget of unfinished messages has no room for what it sends.
+    WaitingForBudget,
 }
 
 #[derive(Debug)]
-pub(super) struct Tab {
-    pub gate: GateId,
+pub(super) struct ConnectionAccount {
+    pub listener: ListenerId,
     pub source: Source,
     pub profile: Profile,
-    /// When it was made, or last asked or was answered something.
-    pub since: Micros,
-    /// Something has been asked on it.
-    pub asked: bool,
-    /// It has been told to make room.
-    pub leaving: bool,
-    /// When something last came of its message.
-    fresh_at: Micros,
-    /// When it last reported.
-    heard_at: Micros,
-    /// As it last reported.
-    pub half_in: usize,
-    pub open: usize,
-    pub owed: usize,
-    pub sheltered: bool,
-    pub missing: Option<usize>,
+    /// When it was accepted, or last submitted a request or received an answer.
+    pub last_activity: Micros,
+    /// It has submitted a request.
+    pub has_submitted: bool,
+    /// It has been chosen for eviction.
+    pub is_evicted: bool,
+    /// When bytes last came from it.
+    last_byte_at: Micros,
+    last_report_at: Micros,
+    // Copies of the last report's values.
+    pub partial_bytes: usize,
+    pub open_requests: usize,
+    pub unsent_bytes: usize,
+    pub is_sheltered: bool,
+    pub missing_bytes: Option<usize>,
     pub patience: Option<(Micros, End)>,
-    pub still: Still,
-    /// When its message began to come in, and how much of it has.
-    pub begun: Option<Micros>,
-    got: u64,
-    /// How long it has waited for room meanwhile.
-    waited: Micros,
-    /// What it has earned, in bytes times µs, when that was reckoned last.
+    pub read_state: ReadState,
+    /// When its unfinished message began to arrive.
+    pub message_started_at: Option<Micros>,
+    /// Bytes of that message that have arrived.
+    message_bytes: u64,
+    /// How long that message has waited for the budget.
+    budget_wait: Micros,
+    /// Credit in bytes times µs, as of `credit_updated_at`.
     credit: i64,
-    reckoned: Micros,
-    /// When its message is to be whole at the latest.
-    longest: Option<Micros>,
+    credit_updated_at: Micros,
+    /// When its message must be complete.
+    message_deadline: Option<Micros>,
     /// Since when the next message is awaited, or was first seen begun, under fixed patience.
-    awaited: Micros,
-    /// Since when something is owed, and since when it has taken nothing of that.
-    owed_since: Option<Micros>,
-    pub taken: Micros,
-    /// The one entry of this connection among the door's deadlines.
-    pub due: Option<Micros>,
+    awaited_since: Micros,
+    /// Since when it has had unsent bytes.
+    unsent_since: Option<Micros>,
+    /// When the peer last accepted bytes, or nothing was left to send.
+    pub last_send_progress: Micros,
+    /// The time of this connection's entry among the admission's deadlines.
+    pub scheduled_at: Option<Micros>,
 }
 
-impl Tab {
-    pub fn new(now: Micros, gate: GateId, source: Source, profile: Profile) -> Tab {
-        Tab {
-            gate,
+impl ConnectionAccount {
+    pub fn new(now: Micros, listener: ListenerId, source: Source, profile: Profile) -> ConnectionAccount {
+        ConnectionAccount {
+            listener,
             source,
             profile,
-            since: now,
-            asked: false,
-            leaving: false,
-            fresh_at: now,
-            heard_at: now,
-            half_in: 0,
-            open: 0,
-            owed: 0,
-            sheltered: false,
-            missing: None,
+            last_activity: now,
+            has_submitted: false,
+            is_evicted: false,
+            last_byte_at: now,
+            last_report_at: now,
+            partial_bytes: 0,
+            open_requests: 0,
+            unsent_bytes: 0,
+            is_sheltered: false,
+            missing_bytes: None,
             patience: None,
-            still: Still::No,
-            begun: None,
-            got: 0,
-            waited: Micros(0),
+            read_state: ReadState::Active,
+            message_started_at: None,
+            message_bytes: 0,
+            budget_wait: Micros(0),
             credit: 0,
-            reckoned: now,
-            longest: None,
-            awaited: now,
-            owed_since: None,
-            taken: now,
-            due: None,
+            credit_updated_at: now,
+            message_deadline: None,
+            awaited_since: now,
+            unsent_since: None,
+            last_send_progress: now,
+            scheduled_at: None,
         }
     }
 
-    /// Takes in what a connection reports.
-    pub fn note(&mut self, now: Micros, r: &Report) {
-        if r.asked > 0 {
-            (self.since, self.asked, self.leaving) = (now, true, false);
+    /// Updates the account from a connection's report.
+    pub fn apply_report(&mut self, now: Micros, report: &ConnectionReport) {
+        if report.submitted_requests > 0 {
+            (self.last_activity, self.has_submitted, self.is_evicted) = (now, true, false);
         }
-        if r.whole > 0 {
-            (self.begun, self.longest) = (None, None);
+        if report.completed_messages > 0 {
+            (self.message_started_at, self.message_deadline) = (None, None);
         }
-        if r.answered > 0 {
-            self.since = now;
+        if report.answers_received > 0 {
+            self.last_activity = now;
         }
-        self.heard_at = now;
-        if r.fresh > 0 {
-            self.fresh_at = now;
+        self.last_report_at = now;
+        if report.bytes_read > 0 {
+            self.last_byte_at = now;
         }
-        let midway = r.half_in > 0;
-        self.reckon(now);
-        match (midway, self.begun) {
-            (false, _) => (self.begun, self.longest) = (None, None),
-            (true, None) => self.begin(now, r.fresh.min(r.half_in)),
+        let is_partial = report.partial_bytes > 0;
+        self.charge_elapsed_time(now);
+        match (is_partial, self.message_started_at) {
+            (false, _) => (self.message_started_at, self.message_deadline) = (None, None),
+            (true, None) => self.begin_message(now, report.bytes_read.min(report.partial_bytes)),
             (true, Some(_)) => {
-                self.got += r.fresh as u64;
-                if let Some(p) = self.profile.progress() {
-                    let most = p.least_rate as i64 * p.burst.0 as i64;
-                    self.credit = (self.credit + r.fresh as i64 * UNIT).min(most);
+                self.message_bytes += report.bytes_read as u64;
+                if let Some(progress) = self.profile.progress() {
+                    let credit_max = progress.least_rate as i64 * progress.burst.0 as i64;
+                    self.credit = (self.credit + report.bytes_read as i64 * CREDIT_PER_BYTE).min(credit_max);
                 }
             }
         }
-        if let (Some(p), Some(begun)) = (self.profile.progress(), self.begun) {
-            let span = Micros::from_secs_f64(r.deadline.as_secs_f64() * p.longest);
-            // The class, once it is known, sets the time; till then the longest of all did.
-            self.longest = Some(begun + span);
+        if let (Some(progress), Some(started_at)) = (self.profile.progress(), self.message_started_at) {
+            let span = Micros::from_secs_f64(report.deadline.as_secs_f64() * progress.longest);
+            // The class sets the time once it is known; until then the longest deadline of all classes did.
+            self.message_deadline = Some(started_at + span);
         }
-        // What this side does not read for now is not awaited.
-        if r.parts > 0 || r.held_back || self.still == Still::Waiting {
-            self.awaited = now;
+        // A message is not awaited while this side does not read.
+        if report.completed_parts > 0
+            || report.is_reading_stopped
+            || self.read_state == ReadState::WaitingForBudget
+        {
+            self.awaited_since = now;
         }
-        if r.taken > 0 || r.owed == 0 {
-            self.taken = now;
+        if report.bytes_sent > 0 || report.unsent_bytes == 0 {
+            self.last_send_progress = now;
         }
-        self.owed_since = if r.owed == 0 { None } else { self.owed_since.or(Some(now)) };
-        (self.half_in, self.open, self.owed) = (r.half_in, r.open, r.owed);
-        (self.sheltered, self.missing) = (r.sheltered, r.missing);
-        self.patience = r.patience.filter(|_| !r.held_back);
+        self.unsent_since = if report.unsent_bytes == 0 { None } else { self.unsent_since.or(Some(now)) };
+        (self.partial_bytes, self.open_requests, self.unsent_bytes) =
+            (report.partial_bytes, report.open_requests, report.unsent_bytes);
+        (self.is_sheltered, self.missing_bytes) = (report.is_sheltered, report.missing_bytes);
+        self.patience = report.patience.filter(|_| !report.is_reading_stopped);
     }
 
-    fn begin(&mut self, now: Micros, got: usize) {
+    fn begin_message(&mut self, now: Micros, bytes: usize) {
         if self.patience.is_none() {
-            self.awaited = now;
+            self.awaited_since = now;
         }
-        (self.begun, self.got, self.reckoned, self.waited) = (Some(now), got as u64, now, Micros(0));
-        if let Some(p) = self.profile.progress() {
-            self.credit = p.least_rate as i64 * p.grace.0 as i64 + got as i64 * UNIT;
+        (self.message_started_at, self.message_bytes, self.credit_updated_at, self.budget_wait) =
+            (Some(now), bytes as u64, now, Micros(0));
+        if let Some(progress) = self.profile.progress() {
+            self.credit =
+                progress.least_rate as i64 * progress.grace.0 as i64 + bytes as i64 * CREDIT_PER_BYTE;
         }
     }
 
-    /// Takes the least rate off the credit, for the time that the sender was free to send.
-    fn reckon(&mut self, now: Micros) {
-        let span = now - self.reckoned;
-        self.reckoned = now;
-        if self.still == Still::Waiting {
-            self.waited = self.waited + span;
+    /// Subtracts the least rate from the credit for the time since the last update, unless the connection waited for
+    /// the budget.
+    fn charge_elapsed_time(&mut self, now: Micros) {
+        let span = now - self.credit_updated_at;
+        self.credit_updated_at = now;
+        if self.read_state == ReadState::WaitingForBudget {
+            self.budget_wait = self.budget_wait + span;
             return;
         }
-        if let (Some(p), Some(_)) = (self.profile.progress(), self.begun) {
-            self.credit = self.credit.saturating_sub(p.least_rate as i64 * span.0 as i64);
+        if let (Some(progress), Some(_)) = (self.profile.progress(), self.message_started_at) {
+            self.credit = self.credit.saturating_sub(progress.least_rate as i64 * span.0 as i64);
         }
     }
 
-    /// There is room again for one that waited: it is looked at now, and the wait is not charged to it.
-    pub fn resume(&mut self, now: Micros) {
-        self.reckon(now);
-        (self.still, self.awaited) = (Still::Resting(now), now);
+    /// Ends the wait for the budget: the socket is read now, and the wait costs no credit.
+    pub fn resume_reading(&mut self, now: Micros) {
+        self.charge_elapsed_time(now);
+        (self.read_state, self.awaited_since) = (ReadState::Paused(now), now);
     }
 
-    /// When the credit is used up if nothing more comes.
-    fn broke(&self, p: &Progress) -> Micros {
+    /// When the credit is used up if no further byte comes.
+    fn credit_exhausted_at(&self, progress: &Progress) -> Micros {
         if self.credit < 0 {
-            return self.reckoned - Micros(1);
+            return self.credit_updated_at - Micros(1);
         }
-        self.reckoned + Micros((self.credit / p.least_rate as i64) as u64)
+        self.credit_updated_at + Micros((self.credit / progress.least_rate as i64) as u64)
     }
 
-    /// Whether the sender of half a message earns its place: it has at least half of the credit that it began with.
-    pub fn pays(&self) -> bool {
+    /// Whether the sender of an unfinished message is protected from eviction: it has at least half of the credit that
+    /// a message begins with, or is sheltered under fixed patience.
+    pub fn is_protected(&self) -> bool {
         match self.profile.progress() {
-            Some(p) if self.half_in > 0 => self.credit * 2 >= p.least_rate as i64 * p.grace.0 as i64,
+            Some(progress) if self.partial_bytes > 0 => {
+                self.credit * 2 >= progress.least_rate as i64 * progress.grace.0 as i64
+            }
             Some(_) => false,
-            None => self.sheltered,
+            None => self.is_sheltered,
         }
     }
 
-    /// How long a slow sender may be left alone. None for one that is quick, or that may have done.
-    pub fn rest(&self, now: Micros) -> Option<Micros> {
-        let p = self.profile.progress().filter(|p| p.rest.0 > 0)?;
-        let sent_for = Some(now - self.begun? - self.waited).filter(|span| *span >= TRIAL)?;
-        if self.open > 0 || self.owed > 0 {
+    /// How long the socket of a slow sender need not be read. `None` for a fast sender, and for one that may have sent
+    /// all that it will.
+    pub fn read_pause(&self, now: Micros) -> Option<Micros> {
+        let progress = self.profile.progress().filter(|progress| progress.rest.0 > 0)?;
+        let sent_for = Some(now - self.message_started_at? - self.budget_wait)
+            .filter(|span| *span >= RATE_MEASUREMENT_MIN)?;
+        if self.open_requests > 0 || self.unsent_bytes > 0 {
             return None;
         }
-        let rate = self.got.saturating_mul(1_000_000) / sent_for.0.max(1);
-        if rate >= FAST {
+        let rate = self.message_bytes.saturating_mul(1_000_000) / sent_for.0.max(1);
+        if rate >= FAST_SENDER_RATE {
             return None;
         }
-        // Where the rest of the message is known, the look comes when it should be there; a little late, as one that
-        // comes too early needs another.
-        let eta = self.missing.map(|m| (m as u64).saturating_mul(1_000_000) / rate.max(1));
-        // Where it is not, a quarter of the longest rest is what the answer may come late by.
-        let eta = eta.map_or(Micros(p.rest.0 / 4), |us| Micros(us.saturating_add(us / 16)));
-        Some(eta.clamp(REST_MIN, p.rest.max(REST_MIN)))
+        // Where the missing length is known, the socket is read when the message should be complete, and 1/16 later, as
+        // a read that comes too early needs another.
+        let remaining_us =
+            self.missing_bytes.map(|missing| (missing as u64).saturating_mul(1_000_000) / rate.max(1));
+        // Where it is not known, the answer may be late by a quarter of the longest pause.
+        let pause = remaining_us.map_or(Micros(progress.rest.0 / 4), |us| Micros(us.saturating_add(us / 16)));
+        Some(pause.clamp(READ_PAUSE_MIN, progress.rest.max(READ_PAUSE_MIN)))
     }
 
-    /// The next time at which something may have to be done.
-    pub fn next(&self) -> Option<Micros> {
+    /// The earliest time at which this connection may need a command.
+    pub fn next_deadline(&self) -> Option<Micros> {
         let mut all = [None; 6];
-        if let Still::Resting(until) = self.still {
+        if let ReadState::Paused(until) = self.read_state {
             all[0] = Some(until);
         }
+        let is_waiting = self.read_state == ReadState::WaitingForBudget;
         match &self.profile.pace {
-            Pace::Fixed if self.still == Still::Waiting => {}
-            Pace::Fixed => all[1] = self.patience.map(|(span, _)| self.awaited + span),
-            Pace::Progress(p) if self.begun.is_some() => {
-                all[1] = (self.still != Still::Waiting).then(|| self.broke(p) + Micros(1));
-                all[2] = self.longest;
+            Pace::Fixed if is_waiting => {}
+            Pace::Fixed => all[1] = self.patience.map(|(span, _)| self.awaited_since + span),
+            Pace::Progress(progress) if self.message_started_at.is_some() => {
+                all[1] = (!is_waiting).then(|| self.credit_exhausted_at(progress) + Micros(1));
+                all[2] = self.message_deadline;
+            }
+            Pace::Progress(progress) => {
+                all[1] = self.is_silent().then(|| self.last_activity + progress.silence);
             }
-            Pace::Progress(p) => all[1] = self.unasked().then(|| self.since + p.silence),
         }
-        if let Some(since) = self.owed_since {
-            all[3] = Some(self.taken + self.profile.taking.stall);
-            all[4] = self.profile.taking.longest.map(|l| since + l);
+        if let Some(since) = self.unsent_since {
+            all[3] = Some(self.last_send_progress + self.profile.send_limits.stall);
+            all[4] = self.profile.send_limits.longest.map(|longest| since + longest);
         }
         all.into_iter().flatten().min()
     }
 
-    /// Nothing has been asked, nothing has come, and something is awaited: the silence is the peer's.
-    fn unasked(&self) -> bool {
-        self.patience.is_some() && self.half_in == 0 && self.open == 0
+    /// A message is awaited, no byte of it has come and no request is open: the peer is the one that is silent.
+    fn is_silent(&self) -> bool {
+        self.patience.is_some() && self.partial_bytes == 0 && self.open_requests == 0
     }
 
-    /// What is to become of it now: nothing, a look, or an end.
-    pub fn verdict(&mut self, now: Micros) -> Option<Verdict> {
-        if let Some(since) = self.owed_since {
-            let over = self.profile.taking.longest.is_some_and(|l| now >= since + l);
-            if over || now >= self.taken + self.profile.taking.stall {
-                return Some(Verdict::Close(End::Stalled));
+    /// The command that is due for this connection now, if any.
+    pub fn due_command(&mut self, now: Micros) -> Option<ConnectionCommand> {
+        if let Some(since) = self.unsent_since {
+            let is_over = self.profile.send_limits.longest.is_some_and(|longest| now >= since + longest);
+            if is_over || now >= self.last_send_progress + self.profile.send_limits.stall {
+                return Some(ConnectionCommand::Close(End::Stalled));
             }
         }
-        if let (Pace::Progress(_), Some(longest)) = (&self.profile.pace, self.longest)
-            && now >= longest
+        if let (Pace::Progress(_), Some(deadline)) = (&self.profile.pace, self.message_deadline)
+            && now >= deadline
         {
-            return Some(Verdict::Close(End::Slow));
+            return Some(ConnectionCommand::Close(End::Slow));
         }
-        match (self.still, &self.profile.pace) {
-            (Still::Resting(until), _) if now >= until => Some(Verdict::Look),
-            (Still::Waiting, _) => None,
+        match (self.read_state, &self.profile.pace) {
+            (ReadState::Paused(until), _) if now >= until => Some(ConnectionCommand::ReadNow),
+            (ReadState::WaitingForBudget, _) => None,
             (_, Pace::Fixed) => {
                 let (span, end) = self.patience?;
-                (now >= self.awaited + span).then_some(Verdict::Close(end))
+                (now >= self.awaited_since + span).then_some(ConnectionCommand::Close(end))
             }
-            // What has come meanwhile is not known yet; it may have paid.
-            (_, Pace::Progress(_)) if self.begun.is_some() => self.is_broke(now).then_some(Verdict::Look),
-            (_, Pace::Progress(p)) => {
-                (self.unasked() && now >= self.since + p.silence).then_some(Verdict::Close(End::Silent))
+            // Bytes that are not read yet may have earned credit, so the socket is read before it is closed.
+            (_, Pace::Progress(_)) if self.message_started_at.is_some() => {
+                self.is_credit_exhausted(now).then_some(ConnectionCommand::ReadNow)
             }
+            (_, Pace::Progress(progress)) => (self.is_silent()
+                && now >= self.last_activity + progress.silence)
+                .then_some(ConnectionCommand::Close(End::Silent)),
         }
     }
 
-    /// Whether the credit is used up, as far as is known.
-    pub fn is_broke(&self, now: Micros) -> bool {
-        self.begun.is_some() && self.profile.progress().is_some_and(|p| now > self.broke(p))
+    /// Whether the credit is used up, not counting bytes that are not read yet.
+    pub fn is_credit_exhausted(&self, now: Micros) -> bool {
+        self.message_started_at.is_some()
+            && self.profile.progress().is_some_and(|progress| now > self.credit_exhausted_at(progress))
     }
 
-    /// How much it is in the way where the budget of bytes half in is used up: what it holds, times how long nothing
-    /// has come of it. None for one that adds to its message, waits for room itself, or is owed an answer.
-    pub fn weight(&self, now: Micros, silent: Micros) -> Option<u128> {
-        // What comes while it rests is not known before the next look.
-        let until = if let Still::Resting(_) = self.still { self.heard_at } else { now };
-        let silence = until - self.fresh_at;
-        let stays = self.leaving || self.open > 0 || self.owed > 0 || self.still == Still::Waiting;
-        (!stays && self.half_in > 0 && silence >= silent)
-            .then(|| self.half_in as u128 * u128::from(silence.0))
+    /// How strongly it burdens the used-up budget of unfinished messages: the bytes that it holds, times how long no
+    /// further byte has come. `None` for one that has added to its message within `stall_min`, waits for the budget
+    /// itself, has an open request or unsent bytes, or is already evicted.
+    pub fn eviction_weight(&self, now: Micros, stall_min: Micros) -> Option<u128> {
+        // Bytes that come during a pause are not known before the next read.
+        let until = if let ReadState::Paused(_) = self.read_state { self.last_report_at } else { now };
+        let silence = until - self.last_byte_at;
+        let is_exempt = self.is_evicted
+            || self.open_requests > 0
+            || self.unsent_bytes > 0
+            || self.read_state == ReadState::WaitingForBudget;
+        (!is_exempt && self.partial_bytes > 0 && silence >= stall_min)
+            .then(|| self.partial_bytes as u128 * u128::from(silence.0))
     }
 
-    /// The order in which connections make room, first to go first; none for one that does not go.
+    /// The order in which connections are evicted, smallest first; `None` for one that is not evicted.
     ///
-    /// 0. who has asked nothing for a while and sends nothing; 1. who has asked and is idle; 2. who is halfway in and
-    ///    behind its pace, the furthest behind first; 3. who has just come. Who is owed an answer stays, and so does
-    ///    who is halfway in and pays. Within one of these the one that has been so for longest goes first.
-    pub fn place(&self, now: Micros, mute: Micros, spare_new: bool, id: ConnId) -> Option<(u8, u64, ConnId)> {
-        // On a poor link the first byte takes its time.
-        let mute = self.profile.progress().map_or(mute, |p| mute.max(Micros(p.silence.0 / 4)));
-        let new = !self.asked && now - self.since < mute;
-        if self.leaving || self.open > 0 || self.owed > 0 || (spare_new && new) || self.pays() {
+    /// 0. It has submitted no request for a while and sends nothing. 1. It has submitted requests and is idle. 2. It has
+    ///    an unfinished message and too little credit; the least credit goes first. 3. It was just accepted. One that
+    ///    has an open request or unsent bytes stays, and so does one whose unfinished message keeps pace. Within a rank
+    ///    the one that has been in that state for longest goes first.
+    pub fn eviction_order(
+        &self,
+        now: Micros,
+        first_request_grace: Micros,
+        spare_new: bool,
+        id: ConnectionId,
+    ) -> Option<(u8, u64, ConnectionId)> {
+        // On a poor link the first byte takes longer.
+        let grace = self
+            .profile
+            .progress()
+            .map_or(first_request_grace, |progress| first_request_grace.max(Micros(progress.silence.0 / 4)));
+        let is_new = !self.has_submitted && now - self.last_activity < grace;
+        if self.is_evicted
+            || self.open_requests > 0
+            || self.unsent_bytes > 0
+            || (spare_new && is_new)
+            || self.is_protected()
+        {
             return None;
         }
-        if self.profile.progress().is_some() && self.half_in > 0 {
-            // Never below zero: who has used up its credit is closed for that.
+        if self.profile.progress().is_some() && self.partial_bytes > 0 {
+            // A negative credit counts as 0: that connection is closed for being slow anyway.
             return Some((2, u64::try_from(self.credit).unwrap_or(0), id));
         }
-        let rank = match (self.asked, new) {
+        let rank = match (self.has_submitted, is_new) {
             (false, false) => 0,
             (true, _) => 1,
             (false, true) => 3,
         };
-        Some((rank, self.since.0, id))
+        Some((rank, self.last_activity.0, id))
     }
 }
 
-/// What the door wants of a connection, unasked.
+/// A command to a connection's driver that is not the reply to a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// Read what has come and report it.
-    Look,
-    /// It is over.
+pub enum ConnectionCommand {
+    /// Read the socket and report.
+    ReadNow,
+    /// Close the connection.
     Close(End),
 }
--- a/src/front/driver.rs
+++ b/src/front/driver.rs
@@ -16,7 +16,9 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::Decoder;
 
-use crate::door::{CHUNK, ConnId, Door, Order, Report, Verdict};
+use crate::door::{
+    ConnectionAdmission, ConnectionCommand, ConnectionId, ConnectionReport, READ_CHUNK_BYTES, ReadInstruction,
+};
 use crate::end::End;
 use crate::front::Wire;
 use crate::front::socket::Stream;
@@ -56,7 +58,7 @@
 /// The door, as all connections' drivers and the runtime share it.
 #[derive(Clone)]
 pub struct Doorman {
-    door: Rc<RefCell<Door>>,
+    door: Rc<RefCell<ConnectionAdmission>>,
     /// Rings when the door wants to be swept sooner than the runtime thinks.
     bell: Rc<Notify>,
     /// Where bytes are read to before it is known whose they are; one for all.
@@ -65,19 +67,19 @@
 
 impl Doorman {
     /// Before this door.
-    pub fn new(door: Door) -> Doorman {
+    pub fn new(door: ConnectionAdmission) -> Doorman {
         Doorman {
             door: Rc::new(RefCell::new(door)),
             bell: Rc::default(),
-            scratch: Rc::new(RefCell::new(vec![0; CHUNK])),
+            scratch: Rc::new(RefCell::new(vec![0; READ_CHUNK_BYTES])),
         }
     }
 
     /// Asks or tells the door.
-    pub fn with<T>(&self, f: impl FnOnce(&mut Door) -> T) -> T {
+    pub fn with<T>(&self, f: impl FnOnce(&mut ConnectionAdmission) -> T) -> T {
         let mut door = self.door.borrow_mut();
         let told = f(&mut door);
-        if door.early() {
+        if door.needs_earlier_sweep() {
             self.bell.notify_one();
         }
         told
@@ -85,7 +87,7 @@
 
     /// How long until the door is to be swept.
     pub fn wait(&self) -> Micros {
-        self.door.borrow_mut().wait()
+        self.door.borrow_mut().time_until_sweep()
     }
 
     /// Waits until the door wants to be swept sooner than it said.
@@ -96,7 +98,7 @@
 
 /// One connection: its state machine, its socket, and a buffer a direction.
 struct Conn<S: Session> {
-    id: ConnId,
+    id: ConnectionId,
     session: S,
     codec: S::Codec,
     stream: Stream,
@@ -141,7 +143,7 @@
 ///
 /// Reading stops, and the peer is slowed by TCP, while too much is owed to it; the rest of the node goes on.
 pub async fn serve<S: Session, E: From<FromConn>>(
-    (wire, id): (Wire, ConnId),
+    (wire, id): (Wire, ConnectionId),
     stream: TcpStream,
     session: S,
     codec: S::Codec,
@@ -157,7 +159,7 @@
         stream: Stream::Live(stream),
         input: BytesMut::new(),
         out: Out::new(),
-        owed_max: doorman.with(|d| d.owed_max()),
+        owed_max: doorman.with(|d| d.unsent_max()),
         doorman: doorman.clone(),
         looked: false,
         blocked: false,
@@ -179,11 +181,11 @@
         last_looks: LAST_LOOKS,
     };
     let end = conn.carry(&events, replies).await;
-    doorman.with(|d| d.left(process::now(), id, 0));
+    doorman.with(|d| d.connection_closed(process::now(), id, 0));
     // The runtime hears of the end before the last bytes are sent off: whoever waited on it waits no longer.
     let _ = events.send(FromConn::Closed { wire, conn: id.0, end }.into()).await;
     let undelivered = conn.part(end, linger).await;
-    doorman.with(|d| d.tally.undelivered += undelivered);
+    doorman.with(|d| d.counters.undelivered += undelivered);
 }
 
 impl<S: Session> Conn<S> {
@@ -217,13 +219,13 @@
             }
             let held_back = self.deaf || over.is_some() || self.out.len() >= self.owed_max;
             let reading = match self.report(held_back) {
-                Order::Close(end) if self.quiet() || end == End::Crowded => return end,
-                Order::Close(end) => {
+                ReadInstruction::Close(end) if self.quiet() || end == End::Crowded => return end,
+                ReadInstruction::Close(end) => {
                     self.settle(end);
                     false
                 }
-                Order::Read => !held_back,
-                Order::Rest => false,
+                ReadInstruction::Read => !held_back,
+                ReadInstruction::Pause => false,
             };
             match (reading, self.quiet() && !held_back) {
                 (true, _) => self.stream.wake(),
@@ -287,7 +289,7 @@
 
     /// Reads what has come in by now, before this side closes. False where there is nothing.
     fn look_once_more(&mut self) -> bool {
-        let most = self.doorman.with(|d| d.may_read(self.id)).min(CHUNK);
+        let most = self.doorman.with(|d| d.read_allowance(self.id)).min(READ_CHUNK_BYTES);
         if most == 0 || self.ended {
             return false;
         }
@@ -393,24 +395,24 @@
         (!is_passing(e) || self.failures > FAILURES_MAX).then_some(End::Reset)
     }
 
-    fn report(&mut self, held_back: bool) -> Order {
+    fn report(&mut self, held_back: bool) -> ReadInstruction {
         let half_in = self.input.len() + self.session.kept();
         let taken = self.out.taken();
-        let report = Report {
-            fresh: std::mem::take(&mut self.fresh),
-            parts: std::mem::take(&mut self.parts),
-            whole: std::mem::take(&mut self.whole),
-            asked: std::mem::take(&mut self.asked),
-            answered: std::mem::take(&mut self.answered),
-            taken: usize::try_from(taken - self.reported_taken).unwrap_or(usize::MAX),
-            half_in,
-            missing: self.session.missing(&self.input),
-            sheltered: self.session.midway(),
-            open: self.session.open(),
-            owed: self.out.len(),
-            looked: std::mem::take(&mut self.looked),
-            blocked: std::mem::take(&mut self.blocked),
-            held_back,
+        let report = ConnectionReport {
+            bytes_read: std::mem::take(&mut self.fresh),
+            completed_parts: std::mem::take(&mut self.parts),
+            completed_messages: std::mem::take(&mut self.whole),
+            submitted_requests: std::mem::take(&mut self.asked),
+            answers_received: std::mem::take(&mut self.answered),
+            bytes_sent: usize::try_from(taken - self.reported_taken).unwrap_or(usize::MAX),
+            partial_bytes: half_in,
+            missing_bytes: self.session.missing(&self.input),
+            is_sheltered: self.session.midway(),
+            open_requests: self.session.open(),
+            unsent_bytes: self.out.len(),
+            was_read: std::mem::take(&mut self.looked),
+            is_blocked: std::mem::take(&mut self.blocked),
+            is_reading_stopped: held_back,
             patience: self
                 .session
                 .patience(!self.input.is_empty())
@@ -420,7 +422,7 @@
         self.reported_taken = taken;
         let id = self.id;
         self.doorman.with(|d| {
-            d.tally.wakes += 1;
+            d.counters.wakes += 1;
             d.report(process::now(), id, &report)
         })
     }
@@ -437,8 +439,8 @@
                 }
                 false
             }
-            Reply::Door(Verdict::Look) => true,
-            Reply::Door(Verdict::Close(end)) => {
+            Reply::Door(ConnectionCommand::ReadNow) => true,
+            Reply::Door(ConnectionCommand::Close(end)) => {
                 self.close(end);
                 false
             }
@@ -469,7 +471,7 @@
     /// Reads once, as much as the door allows at this moment.
     fn take_in(&mut self) -> Option<End> {
         self.looked = true;
-        let most = self.doorman.with(|d| d.may_read(self.id)).min(CHUNK);
+        let most = self.doorman.with(|d| d.read_allowance(self.id)).min(READ_CHUNK_BYTES);
         if most == 0 {
             match self.stream.peek() {
                 Ok(0) => self.ended = true,
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -12,7 +12,7 @@
 
 use tokio_util::codec::Decoder;
 
-use crate::door::Verdict;
+use crate::door::ConnectionCommand;
 use crate::end::End;
 use crate::interface::{Micros, Settings};
 use crate::node::{Answer, FrontId, Input, ResponseRoute};
@@ -52,7 +52,7 @@
     /// Close if nothing is open and nothing has been said for this long.
     CloseIdle(Micros),
     /// What the door wants.
-    Door(Verdict),
+    Door(ConnectionCommand),
     /// Send what is owed, then close.
     Finish,
 }
--- a/src/runtime/connections.rs
+++ b/src/runtime/connections.rs
@@ -7,7 +7,7 @@
 
 use super::Runtime;
 use super::door::{Newcomer, tune};
-use crate::door::{Admission, ConnId, GateId, Verdict};
+use crate::door::{AdmissionDecision, ConnectionCommand, ConnectionId, ListenerId};
 use crate::end::End;
 use crate::front::Reply;
 use crate::front::Wire;
@@ -33,12 +33,12 @@
         let Newcomer { gate, stream, from, permit } = new;
         let wire = self.gates[gate.0].wire;
         let id = match self.doorman.with(|d| d.admit(now, gate, from.ip())) {
-            Admission::Enter(id) => id,
-            Admission::Swap { enter, goes } => {
-                self.whisper(goes, Verdict::Close(End::Crowded));
-                enter
+            AdmissionDecision::Admit(id) => id,
+            AdmissionDecision::Replace { admitted, evicted } => {
+                self.whisper(evicted, ConnectionCommand::Close(End::Crowded));
+                admitted
             }
-            Admission::Refuse(end) => {
+            AdmissionDecision::Reject(end) => {
                 *self.node.counters.closed.entry((wire.front(), end)).or_default() += 1;
                 if let Some(held) = self.log_limiter.now() {
                     debug!(gate = %self.gates[gate.0].name, %from, held, "not taken in: {end}");
@@ -84,10 +84,10 @@
     }
 
     /// Nobody can come in through a gate before somebody goes.
-    pub(super) fn full(&mut self, gate: GateId) {
+    pub(super) fn full(&mut self, gate: ListenerId) {
         let now = process::now();
-        for goes in self.doorman.with(|d| d.full(now, gate)) {
-            self.whisper(goes, Verdict::Close(End::Crowded));
+        for evicted in self.doorman.with(|d| d.evict_for_listener(now, gate)) {
+            self.whisper(evicted, ConnectionCommand::Close(End::Crowded));
         }
     }
 
@@ -99,10 +99,10 @@
         }
     }
 
-    fn whisper(&mut self, id: ConnId, verdict: Verdict) {
+    fn whisper(&mut self, id: ConnectionId, verdict: ConnectionCommand) {
         let full =
             self.connections.get(&id.0).is_some_and(|c| c.replies.try_send(Reply::Door(verdict)).is_err());
-        if full && verdict != Verdict::Look {
+        if full && verdict != ConnectionCommand::ReadNow {
             // It does not read its answers: dropping the sender ends it.
             self.connections.remove(&id.0);
         }
@@ -160,7 +160,7 @@
 
     /// Only those that may be idle are woken. One that is told in vain, as its queue is full, loses nothing.
     pub(super) fn close_idle(&mut self, now: Micros, span: Micros) {
-        for id in self.doorman.with(|d| d.idle(now, span)) {
+        for id in self.doorman.with(|d| d.idle_connections(now, span)) {
             if let Some(c) = self.connections.get(&id.0) {
                 let _ = c.replies.try_send(Reply::CloseIdle(span));
             }
--- a/src/runtime/door.rs
+++ b/src/runtime/door.rs
@@ -13,14 +13,14 @@
 use tracing::warn;
 
 use super::Event;
-use crate::door::GateId;
+use crate::door::ListenerId;
 use crate::door::profile::Profile;
 use crate::log::LogRateLimiter;
 use crate::stream::is_passing;
 
 /// A connection that has come in, with the permit that it holds until its descriptor is free again.
 pub(super) struct Newcomer {
-    pub gate: GateId,
+    pub gate: ListenerId,
     pub stream: TcpStream,
     pub from: SocketAddr,
     pub permit: OwnedSemaphorePermit,
@@ -75,7 +75,7 @@
 /// Accepts connections, as many at a time as there are permits. Each holds one until its descriptor is free again, so
 /// that what waits for the core, or sends its last bytes, counts too.
 pub(super) async fn accept(
-    gate: GateId,
+    gate: ListenerId,
     listener: Rc<TcpListener>,
     room: Arc<Semaphore>,
     events: mpsc::Sender<Event>,
--- a/src/runtime/listeners.rs
+++ b/src/runtime/listeners.rs
@@ -10,12 +10,12 @@
 
 use super::{Gate, Runtime, door};
 use crate::config::edge::{Listener, SPARE};
-use crate::door::GateId;
+use crate::door::ListenerId;
 use crate::front::Wire;
 
 /// A listener that is to be opened.
 pub(super) struct Opening {
-    pub gate: GateId,
+    pub gate: ListenerId,
     pub at: SocketAddr,
     /// Connections at a time.
     pub room: usize,
@@ -23,7 +23,7 @@
 
 /// A listener that is open.
 pub(super) struct Open {
-    pub gate: GateId,
+    pub gate: ListenerId,
     pub at: SocketAddr,
     pub listener: Rc<TcpListener>,
     pub room: Arc<Semaphore>,
@@ -35,9 +35,9 @@
     pub(super) fn plan(&mut self, others: &[Listener], callers: usize) {
         self.gates.push(Gate { name: "callers".to_owned(), wire: Wire::Msgpack });
         self.gates.extend(others.iter().map(|l| Gate { name: l.name.clone(), wire: l.wire }));
-        let platform = self.config.listen.map(|at| Opening { gate: GateId(0), at, room: callers });
+        let platform = self.config.listen.map(|at| Opening { gate: ListenerId(0), at, room: callers });
         let other = |(i, l): (usize, &Listener)| Opening {
-            gate: GateId(i + 1),
+            gate: ListenerId(i + 1),
             at: l.listen,
             room: l.connections.unwrap_or(1),
         };
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -38,7 +38,7 @@
 use crate::config::tiers::Tiers;
 use crate::dependencies::AttemptId;
 use crate::directory::{self, Mode};
-use crate::door::{Door, GateId};
+use crate::door::{ConnectionAdmission, ListenerId};
 use crate::end::End;
 use crate::fleet::datagram::FleetMessage;
 use crate::fleet::lease::holder::ReleaseEvidence;
@@ -65,7 +65,7 @@
 enum Event {
     Connection(FromConn),
     Accepted(door::Newcomer),
-    ListenerFull(GateId),
+    ListenerFull(ListenerId),
     AgentLinked(u64, mpsc::Sender<Bytes>),
     AgentNotice(u64, Notice),
     AgentUnlinked(u64, End),
@@ -219,7 +219,7 @@
             link: None,
             connections: HashMap::new(),
             gates: Vec::new(),
-            doorman: Doorman::new(Door::new(edge.door(&config))),
+            doorman: Doorman::new(ConnectionAdmission::new(edge.door(&config))),
             log_limiter: LogRateLimiter::default(),
             calls: DependencyCalls::new(process::now(), tiers, idle_connections, config.lot()),
             coap: None,
@@ -362,7 +362,7 @@
     fn print(&self) {
         info!("counters: {}", self.node.counters);
         let (tally, (half_in, owed), conns, sources) =
-            self.doorman.with(|d| (d.tally, d.holds(), d.len(), d.sources()));
+            self.doorman.with(|d| (d.counters, d.buffered_bytes(), d.len(), d.source_count()));
         self.calls.print();
         if let Some(driver) = &self.coap {
             driver.print();
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -9,7 +9,8 @@
 use holdlift::Micros;
 use holdlift::config::edge::Edge;
 use holdlift::door::{
-    Admission, ConnId, Door, DoorSettings, GateId, GateSettings, Verdict, profile::Profile,
+    AdmissionDecision, AdmissionSettings, ConnectionAdmission, ConnectionCommand, ConnectionId, ListenerId,
+    ListenerSettings, profile::Profile,
 };
 use holdlift::end::End;
 use holdlift::front::driver::{self, Doorman, FromConn};
@@ -27,7 +28,7 @@
     caller: TcpStream,
     stream: TcpStream,
     doorman: Doorman,
-    id: ConnId,
+    id: ConnectionId,
     replies: mpsc::Sender<Reply>,
     inbox: mpsc::Receiver<Reply>,
 }
@@ -54,15 +55,18 @@
         let caller = TcpStream::connect(listener.local_addr().expect("an address")).expect("connected");
         caller.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
         let stream = listener.accept().expect("accepted").0;
-        let gate = GateSettings { profile: Profile::STRICT, room: 8, half_in: 64 << 10 };
-        let mut door = Door::new(DoorSettings {
-            gates: vec![gate],
-            half_in: 1 << 20,
-            owed: 1 << 20,
+        let gate =
+            ListenerSettings { profile: Profile::STRICT, connections_max: 8, partial_message_max: 64 << 10 };
+        let mut door = ConnectionAdmission::new(AdmissionSettings {
+            listeners: vec![gate],
+            partial_bytes_max: 1 << 20,
+            unsent_bytes_max: 1 << 20,
             sources: Edge::default().door(&config()).sources,
         });
         let from = stream.peer_addr().expect("an address").ip();
-        let Admission::Enter(id) = door.admit(process::now(), GateId(0), from) else { panic!("no room") };
+        let AdmissionDecision::Admit(id) = door.admit(process::now(), ListenerId(0), from) else {
+            panic!("no room")
+        };
         let (replies, inbox) = mpsc::channel(96);
         Crossing { caller, stream, doorman: Doorman::new(door), id, replies, inbox }
     }
@@ -152,9 +156,9 @@
     let closes = [
         ("leaving", Reply::Finish),
         ("idle", Reply::CloseIdle(Micros(0))),
-        ("nothing asked", Reply::Door(Verdict::Close(End::Silent))),
-        ("too slow", Reply::Door(Verdict::Close(End::Slow))),
-        ("in the way", Reply::Door(Verdict::Close(End::Crowded))),
+        ("nothing asked", Reply::Door(ConnectionCommand::Close(End::Silent))),
+        ("too slow", Reply::Door(ConnectionCommand::Close(End::Slow))),
+        ("in the way", Reply::Door(ConnectionCommand::Close(End::Crowded))),
     ];
     for (why, close) in closes {
         let mut c = Crossing::new();
@@ -183,8 +187,8 @@
 async fn half_a_line_is_no_request() {
     let closes = [
         (Reply::Finish, End::Finished),
-        (Reply::Door(Verdict::Close(End::Crowded)), End::Crowded),
-        (Reply::Door(Verdict::Close(End::Slow)), End::Slow),
+        (Reply::Door(ConnectionCommand::Close(End::Crowded)), End::Crowded),
+        (Reply::Door(ConnectionCommand::Close(End::Slow)), End::Slow),
     ];
     for (close, end) in closes {
         let mut c = Crossing::new();
@@ -199,7 +203,7 @@
 /// One byte of a request speaks against idleness, and the rest of it is waited for.
 #[tokio::test]
 async fn a_first_byte_keeps_an_idle_connection() {
-    for close in [Reply::CloseIdle(Micros(0)), Reply::Door(Verdict::Close(End::Silent))] {
+    for close in [Reply::CloseIdle(Micros(0)), Reply::Door(ConnectionCommand::Close(End::Silent))] {
         let mut c = Crossing::new();
         let bytes = ask(1);
         c.write(&bytes[..1], 1);
@@ -247,6 +251,6 @@
     let mut c = Crossing::new();
     let all = [ask(1), ask(2)[..9].to_vec()].concat();
     c.write(&all, all.len());
-    let seen = c.run(1, Some(Reply::Door(Verdict::Close(End::Slow)))).await;
+    let seen = c.run(1, Some(Reply::Door(ConnectionCommand::Close(End::Slow)))).await;
     assert_eq!((seen.asked, seen.answered, seen.end), (vec![1], vec![1], End::Slow));
 }
--- a/tests/uwsgi.rs
+++ b/tests/uwsgi.rs
@@ -296,7 +296,9 @@
 async fn a_request_halfway_in_is_not_idle() {
     use holdlift::door::profile::Profile;
     use holdlift::door::sources::SourceLimits;
-    use holdlift::door::{Admission, Door, DoorSettings, GateId, GateSettings};
+    use holdlift::door::{
+        AdmissionDecision, AdmissionSettings, ConnectionAdmission, ListenerId, ListenerSettings,
+    };
     use holdlift::front::Wire;
     use holdlift::front::driver::{Doorman, FromConn, serve};
     use holdlift::front::{Reply, uwsgi::Gateway};
@@ -315,11 +317,18 @@
         let (replies, inbox) = tokio::sync::mpsc::channel(8);
         let session = Gateway::new(1, settings.clone(), config.clone());
         let codec = Gateway::codec(&config);
-        let gate = GateSettings { profile: Profile::STRICT, room: 4, half_in: 1 << 16 };
-        let settings =
-            DoorSettings { gates: vec![gate], half_in: 1 << 20, owed: 1 << 20, sources: SourceLimits::NONE };
-        let mut door = Door::new(settings);
-        let Admission::Enter(id) = door.admit(holdlift::time::process::now(), GateId(0), address.ip()) else {
+        let gate =
+            ListenerSettings { profile: Profile::STRICT, connections_max: 4, partial_message_max: 1 << 16 };
+        let settings = AdmissionSettings {
+            listeners: vec![gate],
+            partial_bytes_max: 1 << 20,
+            unsent_bytes_max: 1 << 20,
+            sources: SourceLimits::NONE,
+        };
+        let mut door = ConnectionAdmission::new(settings);
+        let AdmissionDecision::Admit(id) =
+            door.admit(holdlift::time::process::now(), ListenerId(0), address.ip())
+        else {
             panic!("no room")
         };
         let with = (Doorman::new(door), Duration::from_millis(150));
