--- a/src/dependencies/circuit_breaker.rs
+++ b/src/dependencies/circuit_breaker.rs
@@ -1,7 +1,7 @@
 //! A circuit breaker: a tier that fails is not called for a while, then probed by a few calls.
 //!
 //! It opens when the share of failures in a sliding window reaches a bound, lets probes pass after a time that doubles with
-//! each failed probe, and closes after as many successful probes in a row. It knows nothing of what a call is.
+//! each failed probe, and closes after as many successful probes in a row. It is independent of what a call is.
 
 use crate::interface::Micros;
 
@@ -46,7 +46,7 @@
     pub failed: u32,
 }
 
-/// Calls and failures of half a window.
+/// Calls and failures in one half of the window.
 #[derive(Clone, Copy, Debug, Default)]
 struct CallCounts {
     calls: u32,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Counts out a cancelled call, which says nothing: another may probe in its place.
+    /// Counts out a cancelled call, which counts as neither success nor failure: another may probe in its place.
     pub fn call_cancelled(&mut self) {
         self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
     }
@@ -118,7 +118,7 @@
         let failure_share = self.settings.failure_share?;
         match self.state {
             CircuitState::Closed => self.count_closed(now, has_failed, failure_share),
-            // Calls from before it opened tell nothing new.
+            // These calls started before the breaker opened; their outcomes add no information.
             CircuitState::Open => None,
             CircuitState::HalfOpen => self.count_probe(now, has_failed),
         }
--- a/src/dependencies/client.rs
+++ b/src/dependencies/client.rs
@@ -31,9 +31,9 @@
     tier: TierId,
     endpoint: EndpointId,
     started_at: Micros,
-    /// The client's epoch at the start: an outcome from a former set of endpoints says nothing of the present one.
+    /// The client's epoch at the start: an outcome from a former set of endpoints is not counted for the present one.
     epoch: u64,
-    /// Held on the fleet's budgets.
+    /// The permit that it holds on the fleet's budgets.
     permit: Option<Permit>,
     /// Neither a retry nor a hedge: it earns retry credit.
     is_first: bool,
@@ -121,14 +121,14 @@
         if let Some(permit) = attempt.permit.take() {
             quota.release(&permit, evidence);
         }
-        // What the service may not have seen has earned no credit there.
+        // A first attempt earns retry credit only once the service has answered it.
         let has_earned = attempt.is_first && evidence == ReleaseEvidence::Answered;
         if let Some(credit) = self.tiers[attempt.tier.0].retry_credit.as_mut().filter(|_| has_earned) {
             credit.record_first_attempt(now);
         }
     }
 
-    /// A client with other plans. The attempt ids of the two never meet: this one may still start attempts for its open calls.
+    /// A client with other plans. The attempt ids of the two never collide: this one may still start attempts for its open calls.
     #[must_use]
     pub fn successor(&self, now: Micros, plans: CallPlans) -> DependencyClient {
         let mut successor = DependencyClient::new(now, plans, 0);
@@ -228,7 +228,7 @@
             self.cache_reply(now, attempt.ticket, &body);
             return self.finish_call(attempt.ticket, Outcome::Good, body, out);
         }
-        // Nobody waits for the reply: no tier can change that.
+        // The reply is not needed any more, so neither a retry nor a fallback would help.
         if outcome == Outcome::Moot {
             return self.finish_call(attempt.ticket, outcome, Bytes::new(), out);
         }
@@ -482,7 +482,7 @@
         out.push(CallAction::CallFinished { ticket, outcome, body, was_attempted });
     }
 
-    /// Takes a cancelled attempt off its zone, endpoint and circuit breaker: it says nothing of them.
+    /// Counts out a cancelled attempt at its zone, endpoint and circuit breaker; it counts as neither success nor failure.
     fn release_attempt(&mut self, attempt: &Attempt) {
         if let Some((routes, zone_call)) = self.routes.as_ref().zip(attempt.zone_call) {
             routes.call_ended(zone_call, None);
@@ -494,7 +494,7 @@
         tier.circuit_breaker.call_cancelled();
     }
 
-    /// Counts what an attempt's end says of its tier, endpoint and zone; `None` if it was cancelled for no fault of theirs.
+    /// Records an attempt's outcome for its tier, endpoint and zone; `None` if it was cancelled for no fault of theirs.
     fn record_outcome(
         &mut self,
         now: Micros,
--- a/src/dependencies/concurrency_limit.rs
+++ b/src/dependencies/concurrency_limit.rs
@@ -8,7 +8,7 @@
 
 /// Factor on the limit after a sign of congestion.
 const DECREASE: f64 = 0.85;
-/// Age at which the lowest latency is measured anew, so that a tier that became slower for good is believed. The limit is
+/// Age at which the lowest latency is measured anew, so that a permanently slower tier gets a new baseline. The limit is
 /// halved meanwhile: a baseline measured under the limit's own load would let the limit grow without end.
 const BASELINE_MAX_AGE: Micros = Micros::from_millis(10_000);
 /// Duration of a measurement in multiples of the old lowest latency.
@@ -41,7 +41,7 @@
     limit: f64,
     baseline: Option<Baseline>,
     measurement: Option<BaselineMeasurement>,
-    /// The limit decreases once a round trip: calls that were in flight then say nothing new.
+    /// The limit decreases at most once per round trip: calls that were in flight at a decrease carry no new information.
     decreased_at: Micros,
 }
 
@@ -99,7 +99,7 @@
         if is_congested {
             self.decrease(now, started_at);
         } else if f64::from(in_flight) * 2.0 >= self.limit {
-            // A limit that is not used says nothing by holding.
+            // The limit grows only while at least half of it is in use: success below that does not show that more calls fit.
             self.limit = (self.limit + 1.0 / self.limit).min(self.settings.maximum);
         }
     }
--- a/src/dependencies/latency_window.rs
+++ b/src/dependencies/latency_window.rs
@@ -26,7 +26,7 @@
     pub fn new(now: Micros, duration: Micros) -> LatencyWindow {
         let empty_bucket = || {
             Histogram::new_with_bounds(1, MAX_LATENCY_MS, 2)
-                .unwrap_or_else(|_| unreachable!("bounds that fit"))
+                .unwrap_or_else(|_| unreachable!("the histogram bounds are valid constants"))
         };
         let bucket_duration = Micros(duration.0.max(1_000) / BUCKETS as u64);
         LatencyWindow {
--- a/src/dependencies/prefetch/tests.rs
+++ b/src/dependencies/prefetch/tests.rs
@@ -3,7 +3,8 @@
 
 const AT: Micros = Micros(1_000);
 
-/// Calls by a letter each: a capital one is needed, `+` before it is beside the one before.
+/// A plan with one call per letter: a capital letter is a required call, and a `+` before it starts the call together
+/// with the previous one.
 fn plan(text: &str) -> Arc<[PrefetchCall]> {
     let mut starts_with_previous = false;
     let mut all = Vec::new();
@@ -33,9 +34,10 @@
     Arc::from(all)
 }
 
-/// What is said, in short: `a@450` a call and its end, `-a` one dropped, `=Good` or `=Good+` the end of a stage.
+/// The actions in short form: `a@450` starts call `a` with its deadline, `-a` cancels it, `=Good` ends the last stage and
+/// `=Good+` another one.
 fn describe(actions: Vec<PrefetchAction>, names: &mut HashMap<u64, String>) -> String {
-    let one = |s| match s {
+    let describe_action = |action| match action {
         PrefetchAction::StartCall { ticket, index, deadline, plan, .. } => {
             names.insert(ticket, plan[index].name.clone());
             format!("{}@{}", plan[index].name, deadline.0 - AT.0)
@@ -45,13 +47,15 @@
             format!("={outcome:?}{}", if has_more { "+" } else { "" })
         }
     };
-    actions.into_iter().map(one).collect::<Vec<_>>().join(" ")
+    actions.into_iter().map(describe_action).collect::<Vec<_>>().join(" ")
 }
 
-/// Plans, what happens in order (a letter and how it ended: `!` well, `?` badly, `#` well with too much; `.` the
-/// stage's time is over; `>` the core begins the next stage, or the same again), what is said, and what the server gets.
+/// Plan, events, expected actions, and expected result: replies and missing calls around a `|`.
+///
+/// Events: `>` the core starts the next stage, or the same one again; a letter names the call that the next sign ends: `!`
+/// with a good reply, `?` with a failure, `#` with a good reply that is too large; `.` the stage's time is up.
 #[test]
-fn stages() {
+fn stages_start_calls_and_end_with_the_expected_results() {
     let table = [
         ("", ">", "=Good", "|"),
         ("A", ">A!", "A@400 =Good", "A|"),
@@ -72,10 +76,10 @@
         let (mut number, mut letter) = (0, ' ');
         for event in events.chars() {
             let mut actions = Vec::new();
-            let of = |l: char, names: &HashMap<u64, String>, prefetcher: &Prefetcher| {
+            let ticket_of = |l: char, names: &HashMap<u64, String>, prefetcher: &Prefetcher| {
                 let mut all =
                     names.iter().filter(|(t, n)| prefetcher.is_waiting_for(**t) && **n == l.to_string());
-                *all.next().expect("a call under way").0
+                *all.next().expect("the call is in flight").0
             };
             match event {
                 '>' => {
@@ -84,20 +88,25 @@
                 }
                 '.' => prefetcher.expire_stage(number, &mut actions),
                 '!' => prefetcher.call_ended(
-                    of(letter, &names, &prefetcher),
+                    ticket_of(letter, &names, &prefetcher),
                     Outcome::Good,
                     letter.to_string().into(),
                     &mut actions,
                 ),
                 '?' => prefetcher.call_ended(
-                    of(letter, &names, &prefetcher),
+                    ticket_of(letter, &names, &prefetcher),
                     Outcome::Bad,
                     Bytes::new(),
                     &mut actions,
                 ),
                 '#' => {
-                    let much = Bytes::from(vec![0; REPLIES_MAX + 1]);
-                    prefetcher.call_ended(of(letter, &names, &prefetcher), Outcome::Good, much, &mut actions);
+                    let too_large = Bytes::from(vec![0; REPLIES_MAX + 1]);
+                    prefetcher.call_ended(
+                        ticket_of(letter, &names, &prefetcher),
+                        Outcome::Good,
+                        too_large,
+                        &mut actions,
+                    );
                 }
                 l => letter = l,
             }
@@ -122,31 +131,31 @@
 }
 
 proptest::proptest! {
-    /// In whatever order calls end, time passes and requests go: no stage ends twice, a run that begins has all that is
-    /// needed, and nothing is left behind.
+    /// For any order of call outcomes, expired stages and cancelled requests: no stage ends twice, a run that begins has
+    /// all required replies, and no state is left over.
     #[test]
-    fn whatever_happens(
+    fn stages_end_once_and_no_state_is_left_for_any_order_of_events(
         text in "([aAbB]\\+?[cC]?[dD]?){0,2}",
         events in proptest::collection::vec((0..5u8, 0..8usize), 0..80),
     ) {
         let plan = plan(text.trim_end_matches('+'));
         let mut prefetcher = Prefetcher::default();
-        let (mut live, mut stages): (Vec<u64>, HashMap<u64, String>) = Default::default();
+        let (mut in_flight, mut stages): (Vec<u64>, HashMap<u64, String>) = Default::default();
         let (mut number, mut done) = (0, Vec::new());
-        for (what, which) in events {
+        for (event, which) in events {
             let (name, mut actions) = (format!("r{}", which % 3), Vec::new());
-            match what {
+            match event {
                 0 if !stages.values().any(|n| *n == name) => {
                     number += 1;
                     stages.insert(number, name.clone());
                     prefetcher.start_stage(AT, &name, number, AT + Micros(900), &plan, &mut actions);
                 }
-                1 if !live.is_empty() => {
-                    let t = live.swap_remove(which % live.len());
+                1 if !in_flight.is_empty() => {
+                    let t = in_flight.swap_remove(which % in_flight.len());
                     prefetcher.call_ended(t, Outcome::Good, Bytes::from_static(b"x"), &mut actions);
                 }
-                2 if !live.is_empty() => {
-                    let t = live.swap_remove(which % live.len());
+                2 if !in_flight.is_empty() => {
+                    let t = in_flight.swap_remove(which % in_flight.len());
                     prefetcher.call_ended(t, Outcome::Bad, Bytes::new(), &mut actions);
                 }
                 3 => {
@@ -159,13 +168,13 @@
                     stages.retain(|_, n| *n != name);
                 }
             }
-            for step in actions {
-                match step {
+            for action in actions {
+                match action {
                     PrefetchAction::StartCall { ticket, deadline, .. } => {
                         proptest::prop_assert!(deadline <= AT + Micros(400));
-                        live.push(ticket);
+                        in_flight.push(ticket);
                     }
-                    PrefetchAction::CancelCall(t) => live.retain(|l| *l != t),
+                    PrefetchAction::CancelCall(t) => in_flight.retain(|l| *l != t),
                     PrefetchAction::StageFinished { ticket, outcome, has_more } => {
                         let name = stages.remove(&ticket);
                         proptest::prop_assert!(name.is_some(), "a stage ended twice");
@@ -178,7 +187,7 @@
             for name in done.drain(..) {
                 let missing = prefetcher.take_result(&name).missing;
                 let is_required = plan.iter().any(|call| call.is_required && missing.contains(&call.name));
-                proptest::prop_assert!(!is_required, "it runs without what it needs");
+                proptest::prop_assert!(!is_required, "a run begins without a required reply");
             }
             proptest::prop_assert!(prefetcher.is_consistent());
         }
--- a/src/dependencies/quota.rs
+++ b/src/dependencies/quota.rs
@@ -36,7 +36,7 @@
 }
 
 impl FleetQuota {
-    /// A quota with the budgets of each tier; `now` is set by whoever drives the dependency client.
+    /// A quota with the budgets of each tier; `now` is set by the driver of the dependency client.
     #[must_use]
     pub fn new(
         lease_holder: Rc<RefCell<LeaseHolder>>,
--- a/src/dependencies/retry_budget/tests.rs
+++ b/src/dependencies/retry_budget/tests.rs
@@ -3,20 +3,21 @@
 use super::*;
 
 #[test]
-fn credit_ends_with_its_window() {
+fn retry_credit_expires_with_its_window() {
     let mut credit = RetryCredit::new(0.5, Micros(800));
-    assert!(!credit.try_retry(Micros(0)), "a new process starts with none");
+    assert!(!credit.try_retry(Micros(0)), "a new process starts without credit");
     credit.record_first_attempt(Micros(0));
     credit.record_first_attempt(Micros(10));
     assert!(credit.try_retry(Micros(20)));
     assert!(!credit.try_retry(Micros(20)));
     credit.record_first_attempt(Micros(30));
     credit.record_first_attempt(Micros(40));
-    assert!(!credit.try_retry(Micros(1_000)), "too late");
+    assert!(!credit.try_retry(Micros(1_000)), "the credit has expired");
 }
 
 proptest! {
-    /// Whatever comes, and when: in any span no more than the share of the first attempts in it and the window before.
+    /// For any sequence of attempts: the retries in any span are at most the share of the first attempts in that span and
+    /// the window before.
     #[test]
     fn retries_are_a_share_of_first_attempts(
         share in 0.05f64..1.0,
--- a/src/dependencies/tier.rs
+++ b/src/dependencies/tier.rs
@@ -192,7 +192,7 @@
             Outcome::Full | Outcome::Late => CongestionSignal::Congested,
             _ => CongestionSignal::Latency(latency),
         };
-        // An immediate failure says nothing of latency.
+        // The latency of an immediate failure does not show how loaded the tier is.
         if has_succeeded || signal == CongestionSignal::Congested {
             self.limit.record_call(now, started_at, self.in_flight + 1, signal);
         }
--- a/src/dependencies/zone_routing.rs
+++ b/src/dependencies/zone_routing.rs
@@ -40,7 +40,7 @@
 }
 
 impl ZoneRoutes {
-    /// Routes by these states; `now` is set by whoever drives the dependency client.
+    /// Routes by these states; `now` is set by the driver of the dependency client.
     #[must_use]
     pub fn new(
         statuses: Rc<RefCell<ZoneStatusCache>>,
@@ -68,33 +68,37 @@
         rng: &mut impl Rng,
     ) -> Vec<bool> {
         let (statuses, now) = (self.statuses.borrow(), self.now());
-        let endpoint_cost = |endpoint: usize| match self.zone(tier, endpoint) {
+        let zone_access = |endpoint: usize| match self.zone(tier, endpoint) {
             Some(zone) if exhausted.contains(&zone) => (ZoneAccess::Closed, 0),
             Some(zone) => statuses.access(now, zone),
             None => (ZoneAccess::Open, FULL_WEIGHT),
         };
-        let costs: Vec<(ZoneAccess, u16)> = (0..endpoints).map(endpoint_cost).collect();
+        let accesses: Vec<(ZoneAccess, u16)> = (0..endpoints).map(zone_access).collect();
         let total_weight = |kind: ZoneAccess| -> u32 {
-            costs.iter().filter(|(cost, _)| *cost == kind).map(|(_, weight)| u32::from(*weight)).sum()
+            accesses.iter().filter(|(access, _)| *access == kind).map(|(_, weight)| u32::from(*weight)).sum()
         };
-        let (free, lent) = (total_weight(ZoneAccess::Open), total_weight(ZoneAccess::Budgeted));
+        let (open_weight, budgeted_weight) =
+            (total_weight(ZoneAccess::Open), total_weight(ZoneAccess::Budgeted));
         // A probe, whose budget is a few concurrent calls, is sent whenever it is allowed.
-        let probe = costs.iter().position(|(cost, weight)| *cost == ZoneAccess::Budgeted && *weight <= 1);
-        let mut point = if probe.is_some() { 0 } else { rng.random_range(0..(free + lent).max(1)) };
-        if point >= lent {
-            return costs.iter().map(|(cost, _)| *cost == ZoneAccess::Open).collect();
+        let probe =
+            accesses.iter().position(|(access, weight)| *access == ZoneAccess::Budgeted && *weight <= 1);
+        let mut point =
+            if probe.is_some() { 0 } else { rng.random_range(0..(open_weight + budgeted_weight).max(1)) };
+        if point >= budgeted_weight {
+            return accesses.iter().map(|(access, _)| *access == ZoneAccess::Open).collect();
         }
         let drawn = probe.or_else(|| {
-            costs.iter().position(|(cost, weight)| {
-                let weight = if *cost == ZoneAccess::Budgeted { u32::from(*weight) } else { 0 };
+            accesses.iter().position(|(access, weight)| {
+                let weight = if *access == ZoneAccess::Budgeted { u32::from(*weight) } else { 0 };
                 let is_drawn = point < weight;
                 point = point.saturating_sub(weight);
                 is_drawn
             })
         });
         let zone = drawn.and_then(|endpoint| self.zone(tier, endpoint));
-        let is_in_zone =
-            |endpoint: usize| costs[endpoint].0 == ZoneAccess::Budgeted && self.zone(tier, endpoint) == zone;
+        let is_in_zone = |endpoint: usize| {
+            accesses[endpoint].0 == ZoneAccess::Budgeted && self.zone(tier, endpoint) == zone
+        };
         (0..endpoints).map(is_in_zone).collect()
     }
 
@@ -102,8 +106,8 @@
     #[must_use]
     pub fn recovery_budget(&self, tier: TierId, endpoint: EndpointId) -> Option<(usize, usize)> {
         let zone = self.zone(tier, endpoint.0)?;
-        let is_lent = self.statuses.borrow().access(self.now(), zone).0 == ZoneAccess::Budgeted;
-        Some((zone, *self.index.recovery_budgets.get(zone)?)).filter(|_| is_lent)
+        let is_budgeted = self.statuses.borrow().access(self.now(), zone).0 == ZoneAccess::Budgeted;
+        Some((zone, *self.index.recovery_budgets.get(zone)?)).filter(|_| is_budgeted)
     }
 
     /// Counts a call that starts, if the endpoint has a zone.
--- a/src/dependencies/zone_routing/tests.rs
+++ b/src/dependencies/zone_routing/tests.rs
@@ -7,13 +7,13 @@
 /// Endpoints of the zones a, a, b, c and one without a label.
 fn routes(b: (ZoneState, u16), c: (ZoneState, u16)) -> ZoneRoutes {
     let names: Vec<String> = ["a", "b", "c"].map(str::to_owned).to_vec();
-    let line = |zone: &str, (life, weight)| ZoneStatus { state: life, weight, ..ZoneStatus::new(zone) };
+    let status = |zone: &str, (state, weight)| ZoneStatus { state, weight, ..ZoneStatus::new(zone) };
     let mut statuses = ZoneStatusCache::new(Micros(0), names, "a", Micros(1_000));
     statuses.receive_statuses(
         Micros(0),
         &ZoneStatusMap {
             epoch: 1,
-            statuses: vec![line("a", (ZoneState::In, FULL_WEIGHT)), line("b", b), line("c", c)],
+            statuses: vec![status("a", (ZoneState::In, FULL_WEIGHT)), status("b", b), status("c", c)],
         },
     );
     let endpoint_zones = vec![vec![Some(0), Some(0), Some(1), Some(2), None]];
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn calls_go_where_the_zones_let_them() {
+fn allowed_endpoints_follow_the_states_of_the_zones() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut allowed = |routes: &ZoneRoutes, exhausted: &[usize]| -> String {
         let flags = routes.allowed_endpoints(TierId(0), 5, exhausted, &mut rng);
@@ -37,15 +37,23 @@
     );
     assert_eq!(allowed(&routes((ZoneState::Out, 0), (ZoneState::In, FULL_WEIGHT)), &[]), "xx.xx");
     let probing = routes((ZoneState::Probing, 0), (ZoneState::In, FULL_WEIGHT));
-    assert_eq!(allowed(&probing, &[]), "..x..", "a probe goes first");
-    assert_eq!(allowed(&probing, &[1]), "xx.xx", "while there is room for one");
+    assert_eq!(allowed(&probing, &[]), "..x..", "a probe is sent whenever it is allowed");
+    assert_eq!(
+        allowed(&probing, &[1]),
+        "xx.xx",
+        "without room for a probe, calls go to the zones in service"
+    );
     assert_eq!(probing.recovery_budget(TierId(0), EndpointId(2)), Some((1, 5)));
     assert_eq!(probing.recovery_budget(TierId(0), EndpointId(3)), None);
     let returning = routes((ZoneState::Returning, 500), (ZoneState::Out, 0));
-    let there = (0..1_000).filter(|_| allowed(&returning, &[]) == "..x..").count();
-    assert!((100..190).contains(&there), "500 of 3,500: {there}");
+    let to_returning_zone = (0..1_000).filter(|_| allowed(&returning, &[]) == "..x..").count();
+    assert!((100..190).contains(&to_returning_zone), "500 of 3,500: {to_returning_zone}");
     assert_eq!(allowed(&returning, &[1]), "xx..x");
-    let zone_call = returning.call_started(TierId(0), EndpointId(2)).expect("a zone");
+    let zone_call = returning.call_started(TierId(0), EndpointId(2)).expect("the endpoint has a zone");
     returning.call_ended(zone_call, Some(Outcome::Bad));
-    assert_eq!(returning.call_started(TierId(0), EndpointId(4)), None, "no zone, nothing to tell");
+    assert_eq!(
+        returning.call_started(TierId(0), EndpointId(4)),
+        None,
+        "an endpoint without a zone is not counted"
+    );
 }
--- a/src/runtime/dependency_calls.rs
+++ b/src/runtime/dependency_calls.rs
@@ -313,7 +313,7 @@
                 PrefetchAction::StartCall { ticket, name, index, deadline, plan } => {
                     // Concurrent calls of one request need names of their own, as the tier knows calls by name.
                     let name = format!("{name}.{}", plan[index].name);
-                    let body = uwsgi::sent(packet, plan[index].send.as_deref());
+                    let body = uwsgi::call_body(packet, plan[index].send.as_deref());
                     let payload = Payload { name, body, at_most_once: false };
                     self.calls.payloads.insert(ticket, payload);
                     let request = CallRequest {
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -659,7 +659,7 @@
         let (events, servers, run) = (self.events.clone(), servers.clone(), name.clone());
         let gathered = self.calls.take_prefetched(&name);
         let task = tokio::task::spawn_local(async move {
-            let (end, reply) = match uwsgi::with_gathered(packet, &gathered) {
+            let (end, reply) = match uwsgi::with_prefetched_vars(packet, &gathered) {
                 Some(packet) => servers.run(packet).await,
                 None => (Outcome::Bad, Bytes::new()),
             };
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,3 +1,3 @@
-//! Where work goes that the agent does not do.
+//! Servers that execute runs in place of the agent.
 
 pub mod uwsgi;
--- a/tests/depend.rs
+++ b/tests/depend.rs
@@ -1,4 +1,5 @@
-//! The dependency client without sockets: where calls go, what they fall back on, and what must hold in any order of events.
+//! The dependency client without sockets: where calls go, what they fall back on, and properties that hold for any order
+//! of events.
 
 use std::net::SocketAddr;
 
@@ -21,12 +22,12 @@
     Micros::from_millis(x)
 }
 
-fn at(port: u16) -> SocketAddr {
+fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
 fn tier(name: &str, ports: &[u16]) -> TierSettings {
-    TierSettings::unlimited(name, ports.iter().map(|p| at(*p)).collect())
+    TierSettings::unlimited(name, ports.iter().map(|port| address(*port)).collect())
 }
 
 fn call(tier: usize, fallbacks: Vec<Fallback>) -> CallPlan {
@@ -38,21 +39,22 @@
     CallPlans { tiers, classes: vec![calls], prefetch: Vec::new(), default_plan }
 }
 
-struct Table {
-    desk: DependencyClient,
+/// A dependency client with a clock that the test advances.
+struct Harness {
+    client: DependencyClient,
     now: Micros,
-    next: u64,
+    last_ticket: u64,
 }
 
-impl Table {
-    fn new(plans: CallPlans) -> Table {
-        Table { desk: DependencyClient::new(ms(1_000), plans, 7), now: ms(1_000), next: 0 }
+impl Harness {
+    fn new(plans: CallPlans) -> Harness {
+        Harness { client: DependencyClient::new(ms(1_000), plans, 7), now: ms(1_000), last_ticket: 0 }
     }
 
-    fn begin(&mut self, at_most_once: bool) -> (u64, Vec<CallAction>) {
-        self.next += 1;
-        let want = CallRequest {
-            ticket: self.next,
+    fn start_call(&mut self, at_most_once: bool) -> (u64, Vec<CallAction>) {
+        self.last_ticket += 1;
+        let request = CallRequest {
+            ticket: self.last_ticket,
             class: 0,
             index: CallIndex::Run(0),
             deadline: self.now + ms(1_000),
@@ -60,37 +62,39 @@
             is_retry: false,
         };
         let mut out = Vec::new();
-        self.desk.start_call(self.now, want, &mut out);
-        (self.next, out)
+        self.client.start_call(self.now, request, &mut out);
+        (self.last_ticket, out)
     }
 
-    fn ended(&mut self, id: AttemptId, end: Outcome) -> Vec<CallAction> {
+    fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) -> Vec<CallAction> {
         let mut out = Vec::new();
-        self.desk.attempt_ended(self.now, id, end, Bytes::from_static(b"reply"), &mut out);
+        self.client.attempt_ended(self.now, id, outcome, Bytes::from_static(b"reply"), &mut out);
         out
     }
 
-    fn wait(&mut self, span: u64) -> Vec<CallAction> {
+    fn advance(&mut self, span: u64) -> Vec<CallAction> {
         self.now = self.now + ms(span);
         let mut out = Vec::new();
-        self.desk.run_due_timers(self.now, &mut out);
+        self.client.run_due_timers(self.now, &mut out);
         out
     }
 }
 
-fn attempts(steps: &[CallAction]) -> Vec<(AttemptId, u16, Micros)> {
-    let one = |s: &CallAction| match s {
+/// The attempts that the actions start: id, port and timeout.
+fn attempts(actions: &[CallAction]) -> Vec<(AttemptId, u16, Micros)> {
+    let started = |action: &CallAction| match action {
         CallAction::StartAttempt { attempt, address, timeout, .. } => {
             Some((*attempt, address.port(), *timeout))
         }
         _ => None,
     };
-    steps.iter().filter_map(one).collect()
+    actions.iter().filter_map(started).collect()
 }
 
-fn done(steps: &[CallAction]) -> Option<(Outcome, &[u8])> {
-    steps.iter().find_map(|s| {
-        if let CallAction::CallFinished { outcome, body, .. } = s {
+/// The outcome and reply of the call that the actions finish, if any.
+fn finished(actions: &[CallAction]) -> Option<(Outcome, &[u8])> {
+    actions.iter().find_map(|action| {
+        if let CallAction::CallFinished { outcome, body, .. } = action {
             Some((*outcome, &body[..]))
         } else {
             None
@@ -98,62 +102,73 @@
     })
 }
 
-/// The platform's plan: one try, for as long as the module allows, and the outcome as it is.
+/// The platform's plan: one attempt, for as long as the decision module allows, and its outcome is passed on unchanged.
 #[test]
-fn the_platforms_ledger_is_called_as_ever() {
+fn the_platform_plan_makes_one_attempt_at_the_ledger() {
     for end in [Outcome::Good, Outcome::Full, Outcome::Bad, Outcome::Late, Outcome::Moot, Outcome::Reset] {
-        let mut t = Table::new(CallPlans::platform(Some(at(1))));
-        let (_, out) = t.begin(end == Outcome::Bad);
+        let mut harness = Harness::new(CallPlans::platform(Some(address(1))));
+        let (_, out) = harness.start_call(end == Outcome::Bad);
         let all = attempts(&out);
         assert_eq!((all.len(), all[0].1, all[0].2), (1, 1, ms(1_000)));
-        assert!(t.wait(999).is_empty());
-        let out = t.ended(all[0].0, end);
-        assert!(attempts(&out).is_empty() && t.desk.open_calls() == 0);
-        assert_eq!(done(&out).map(|d| d.0), Some(end));
+        assert!(harness.advance(999).is_empty());
+        let out = harness.end_attempt(all[0].0, end);
+        assert!(attempts(&out).is_empty() && harness.client.open_calls() == 0);
+        assert_eq!(finished(&out).map(|d| d.0), Some(end));
     }
-    let (_, out) = Table::new(CallPlans::platform(None)).begin(false);
-    assert_eq!(done(&out), Some((Outcome::Unreachable, &b""[..])));
+    let (_, out) = Harness::new(CallPlans::platform(None)).start_call(false);
+    assert_eq!(finished(&out), Some((Outcome::Unreachable, &b""[..])));
 }
 
 #[test]
-fn a_move_takes_new_calls_along_only() {
-    let mut t = Table::new(CallPlans::platform(Some(at(1))));
-    let (_, first) = t.begin(false);
-    t.desk.set_tier_endpoints(TierId(0), &[at(2)]);
-    assert_eq!(attempts(&t.begin(false).1)[0].1, 2);
-    assert_eq!(done(&t.ended(attempts(&first)[0].0, Outcome::Good)), Some((Outcome::Good, &b"reply"[..])));
+fn replaced_endpoints_apply_to_new_calls_only() {
+    let mut harness = Harness::new(CallPlans::platform(Some(address(1))));
+    let (_, first) = harness.start_call(false);
+    harness.client.set_tier_endpoints(TierId(0), &[address(2)]);
+    assert_eq!(attempts(&harness.start_call(false).1)[0].1, 2);
+    assert_eq!(
+        finished(&harness.end_attempt(attempts(&first)[0].0, Outcome::Good)),
+        Some((Outcome::Good, &b"reply"[..]))
+    );
 }
 
 #[test]
-fn what_is_taken_instead() {
+fn fallbacks_are_taken_in_the_order_of_the_plan() {
     let chain = vec![
         Fallback::CachedReply(ms(5_000)),
         Fallback::Tier(TierId(1)),
         Fallback::Fixed(Bytes::from_static(b"none")),
     ];
-    let mut t = Table::new(plans(vec![tier("a", &[1]), tier("b", &[2])], vec![call(0, chain)]));
-    // The first tier has half of the second that is left, then the next step is taken at once.
-    let (_, out) = t.begin(false);
+    let mut harness = Harness::new(plans(vec![tier("a", &[1]), tier("b", &[2])], vec![call(0, chain)]));
+    // The first tier has half of the 1 s that is left; after that the next fallback is taken at once.
+    let (_, out) = harness.start_call(false);
     assert_eq!(attempts(&out)[0].2, ms(500));
-    let out = t.wait(500);
+    let out = harness.advance(500);
     assert!(matches!(out[0], CallAction::CancelAttempt(_)));
-    assert_eq!(attempts(&out)[0].1, 2, "no good reply is known yet");
-    let out = t.ended(attempts(&out)[0].0, Outcome::Full);
-    assert_eq!(done(&out), Some((Outcome::Good, &b"none"[..])));
-    let (_, out) = t.begin(false);
-    t.ended(attempts(&out)[0].0, Outcome::Good);
-    let (_, out) = t.begin(false);
-    assert_eq!(done(&t.ended(attempts(&out)[0].0, Outcome::Bad)), Some((Outcome::Good, &b"reply"[..])));
-    t.wait(6_000);
-    let (_, out) = t.begin(false);
-    assert_eq!(attempts(&t.ended(attempts(&out)[0].0, Outcome::Bad))[0].1, 2, "the last good one is too old");
+    assert_eq!(attempts(&out)[0].1, 2, "no good reply is cached yet");
+    let out = harness.end_attempt(attempts(&out)[0].0, Outcome::Full);
+    assert_eq!(finished(&out), Some((Outcome::Good, &b"none"[..])));
+    let (_, out) = harness.start_call(false);
+    harness.end_attempt(attempts(&out)[0].0, Outcome::Good);
+    let (_, out) = harness.start_call(false);
+    assert_eq!(
+        finished(&harness.end_attempt(attempts(&out)[0].0, Outcome::Bad)),
+        Some((Outcome::Good, &b"reply"[..]))
+    );
+    harness.advance(6_000);
+    let (_, out) = harness.start_call(false);
+    assert_eq!(
+        attempts(&harness.end_attempt(attempts(&out)[0].0, Outcome::Bad))[0].1,
+        2,
+        "the cached reply is too old"
+    );
 }
 
-/// A call of a gather stage is ended by the desk at its own time, with what costs no time; a run's is its owner's to end.
+/// The client ends a prefetch call at its deadline, with a fallback that takes no time if there is one; it leaves a run's
+/// call to the core.
 #[test]
-fn a_stages_call_ends_at_its_own_time() {
+fn a_prefetch_call_ends_at_its_deadline() {
     let fixed = || Fallback::Fixed(Bytes::from_static(b"flat"));
-    for (index, fallbacks, want) in [
+    for (index, fallbacks, expected) in [
         (CallIndex::Prefetch(0), vec![fixed()], Some((Outcome::Good, &b"flat"[..]))),
         (
             CallIndex::Prefetch(0),
@@ -165,72 +180,76 @@
         (CallIndex::Run(0), vec![fixed()], None),
     ] {
         let what = format!("{index:?} {fallbacks:?}");
-        let mut t = Table::new(plans(vec![tier("a", &[1]), tier("b", &[2])], vec![call(0, vec![])]));
+        let mut harness = Harness::new(plans(vec![tier("a", &[1]), tier("b", &[2])], vec![call(0, vec![])]));
         let mut out = Vec::new();
         let plan = CallPlan { time_share: 1.0, ..call(0, fallbacks) };
-        let want_call = CallRequest {
+        let request = CallRequest {
             ticket: 9,
             class: 0,
             index,
-            deadline: t.now + ms(400),
+            deadline: harness.now + ms(400),
             at_most_once: false,
             is_retry: false,
         };
-        t.desk.start_call_with_plan(t.now, want_call, plan, &mut out);
+        harness.client.start_call_with_plan(harness.now, request, plan, &mut out);
         assert_eq!(attempts(&out).len(), 1, "{what}");
-        assert!(t.wait(399).is_empty(), "{what}");
-        let out = t.wait(1);
-        assert_eq!(done(&out), want, "{what}");
-        assert_eq!(out.iter().any(|s| matches!(s, CallAction::CancelAttempt(_))), want.is_some(), "{what}");
-        assert_eq!(t.desk.open_calls(), usize::from(want.is_none()), "{what}");
+        assert!(harness.advance(399).is_empty(), "{what}");
+        let out = harness.advance(1);
+        assert_eq!(finished(&out), expected, "{what}");
+        assert_eq!(
+            out.iter().any(|s| matches!(s, CallAction::CancelAttempt(_))),
+            expected.is_some(),
+            "{what}"
+        );
+        assert_eq!(harness.client.open_calls(), usize::from(expected.is_none()), "{what}");
     }
 }
 
-/// A call with an effect: nothing instead, no copy and no second try, unless the connection was refused.
+/// A call with a side effect has no fallback, no hedged attempt and no retry, unless the connection was refused.
 #[test]
-fn a_write_is_sent_once() {
-    let eager = RetrySettings { attempts_max: 3, share: 1.0, burst: 10.0, hedge: Some(0.5) };
+fn a_call_with_a_side_effect_is_sent_once() {
+    let generous_retries = RetrySettings { attempts_max: 3, share: 1.0, burst: 10.0, hedge: Some(0.5) };
     for (end, is_retry) in
         [(Outcome::Unreachable, true), (Outcome::Full, false), (Outcome::Bad, false), (Outcome::Reset, false)]
     {
-        let a = TierSettings { retry: eager, ..tier("a", &[1, 2, 3]) };
-        let mut t = Table::new(plans(vec![a], vec![call(0, vec![Fallback::Fixed(Bytes::new())])]));
+        let a = TierSettings { retry: generous_retries, ..tier("a", &[1, 2, 3]) };
+        let mut harness = Harness::new(plans(vec![a], vec![call(0, vec![Fallback::Fixed(Bytes::new())])]));
         for _ in 0..60 {
-            let (_, out) = t.begin(false);
-            t.ended(attempts(&out)[0].0, Outcome::Good);
+            let (_, out) = harness.start_call(false);
+            harness.end_attempt(attempts(&out)[0].0, Outcome::Good);
         }
-        let (_, out) = t.begin(true);
-        assert!(attempts(&t.wait(400)).is_empty(), "no copy");
-        let out = t.ended(attempts(&out)[0].0, end);
+        let (_, out) = harness.start_call(true);
+        assert!(attempts(&harness.advance(400)).is_empty(), "a call with a side effect is not hedged");
+        let out = harness.end_attempt(attempts(&out)[0].0, end);
         assert_eq!(
-            (attempts(&out).len(), done(&out).is_none()),
+            (attempts(&out).len(), finished(&out).is_none()),
             (usize::from(is_retry), is_retry),
             "{end:?}"
         );
-        let doubt = t.desk.counters().next().unwrap().1.in_doubt;
-        assert_eq!(doubt, u64::from(matches!(end, Outcome::Bad | Outcome::Reset)));
+        let in_doubt = harness.client.counters().next().expect("the plans have a tier").1.in_doubt;
+        assert_eq!(in_doubt, u64::from(matches!(end, Outcome::Bad | Outcome::Reset)));
     }
 }
 
-/// A fall-back is load too: at its limit the next step is taken, and nothing waits.
+/// A fallback tier is bounded by its own concurrency limit: at the limit the next fallback is taken, and no call waits.
 #[test]
-fn a_full_fallback_is_passed_over() {
+fn a_fallback_tier_at_its_limit_is_skipped() {
     let limit = ConcurrencyLimitSettings { initial: 2.0, minimum: 2.0, maximum: 2.0, tolerance: 2.0 };
     let b = TierSettings { limit, ..tier("b", &[2]) };
     let chain = vec![Fallback::Tier(TierId(1)), Fallback::Fixed(Bytes::from_static(b"none"))];
-    let mut t = Table::new(plans(vec![tier("a", &[1]), b], vec![call(0, chain)]));
-    let mut instead = 0;
+    let mut harness = Harness::new(plans(vec![tier("a", &[1]), b], vec![call(0, chain)]));
+    let mut fallback_attempts = 0;
     for _ in 0..5 {
-        let (_, out) = t.begin(false);
-        let out = t.ended(attempts(&out)[0].0, Outcome::Unreachable);
-        instead += attempts(&out).len();
-        assert!(!attempts(&out).is_empty() || done(&out) == Some((Outcome::Good, &b"none"[..])));
+        let (_, out) = harness.start_call(false);
+        let out = harness.end_attempt(attempts(&out)[0].0, Outcome::Unreachable);
+        fallback_attempts += attempts(&out).len();
+        assert!(!attempts(&out).is_empty() || finished(&out) == Some((Outcome::Good, &b"none"[..])));
     }
-    assert_eq!(instead, 2);
+    assert_eq!(fallback_attempts, 2);
 }
 
 #[test]
-fn breakers_open_probe_and_close() {
+fn circuit_breaker_opens_probes_and_closes() {
     let s = CircuitBreakerSettings {
         failure_share: Some(0.5),
         min_calls: 4,
@@ -243,54 +262,54 @@
     for i in 0..3 {
         assert_eq!(b.call_ended(ms(i), true), None);
     }
-    let change = b.call_ended(ms(3), true).expect("it opens");
+    let change = b.call_ended(ms(3), true).expect("the fourth failure opens the breaker");
     assert_eq!((change.to, change.calls, change.failed), (CircuitState::Open, 4, 4));
     assert!(!b.check(ms(102)).0);
-    // Probes fail: twice as long, up to the most.
-    for (now, closed) in [(103, 200), (303, 300), (603, 300)] {
+    // Each failed probe doubles the open duration, up to its maximum.
+    for (now, open_for) in [(103, 200), (303, 300), (603, 300)] {
         assert_eq!(b.check(ms(now)).1.map(|c| c.to), Some(CircuitState::HalfOpen));
         b.call_started();
         b.call_ended(ms(now), true);
-        assert!(!b.check(ms(now + closed - 1)).0 && b.state() == CircuitState::Open);
+        assert!(!b.check(ms(now + open_for - 1)).0 && b.state() == CircuitState::Open);
     }
     assert!(b.check(ms(903)).0);
     for _ in 0..2 {
         assert!(b.check(ms(903)).0);
         b.call_started();
     }
-    assert!(!b.check(ms(903)).0, "two probes at a time");
+    assert!(!b.check(ms(903)).0, "at most two probes are in flight");
     assert_eq!(b.call_ended(ms(904), false), None);
     assert_eq!(b.call_ended(ms(905), false).map(|c| c.to), Some(CircuitState::Closed));
-    // Old failures are forgotten.
+    // Failures that have left the window do not count.
     for i in 0..20 {
         assert_eq!(b.call_ended(ms(2_000 * (i + 1)), true), None);
     }
 }
 
 #[test]
-fn endpoints_are_left_out_down_to_a_floor() {
+fn ejection_keeps_the_minimum_share_of_endpoints() {
     let outlier_ejection = OutlierEjectionSettings {
         consecutive_failures: Some(3),
         base_duration: ms(1_000),
         min_available_share: 0.5,
     };
-    let all: Vec<SocketAddr> = (1..=4).map(at).collect();
+    let all: Vec<SocketAddr> = (1..=4).map(address).collect();
     let mut e = EndpointPool::new(&all, outlier_ejection);
-    let mut draws = ChaCha8Rng::seed_from_u64(1);
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
     for id in (0..4).map(EndpointId) {
         for _ in 0..5 {
             e.call_started(ms(10), id);
             e.call_ended(ms(10), id, ms(1), Outcome::Bad);
         }
     }
-    assert_eq!(e.counts(ms(10)), (2, 4), "half of them stay in, however they fail");
+    assert_eq!(e.counts(ms(10)), (2, 4), "half of the endpoints are never ejected");
     for _ in 0..100 {
-        let id = e.choose(ms(10), &[], None, &mut draws).expect("one");
+        let id = e.choose(ms(10), &[], None, &mut rng).expect("the collection is not empty");
         assert!(id.0 >= 2);
-        assert_ne!(e.choose(ms(10), &[EndpointId(2)], None, &mut draws), Some(EndpointId(2)));
+        assert_ne!(e.choose(ms(10), &[EndpointId(2)], None, &mut rng), Some(EndpointId(2)));
     }
     assert_eq!(e.counts(ms(1_010)), (4, 4));
-    // A slow one gets fewer; one that is fast because it fails draws nobody.
+    // A slow endpoint gets fewer calls; failing fast does not attract any.
     let mut e = EndpointPool::new(
         &all[..2],
         OutlierEjectionSettings { consecutive_failures: None, ..outlier_ejection },
@@ -300,12 +319,12 @@
         e.call_ended(ms(1), EndpointId(1), ms(50), Outcome::Good);
         e.call_ended(ms(1), EndpointId(1), ms(1), Outcome::Bad);
     }
-    let first = (0..400).filter(|_| e.choose(ms(2), &[], None, &mut draws) == Some(EndpointId(0))).count();
-    assert!((260..340).contains(&first), "three in four: {first}");
+    let first = (0..400).filter(|_| e.choose(ms(2), &[], None, &mut rng) == Some(EndpointId(0))).count();
+    assert!((260..340).contains(&first), "expected about three of four calls at the fast endpoint: {first}");
 }
 
 #[test]
-fn latency_slides() {
+fn latency_quantiles_cover_the_window_only() {
     let mut w = LatencyWindow::new(ms(0), ms(6_000));
     for i in 0..100 {
         w.record(ms(10 * i), ms(i + 1));
@@ -315,10 +334,10 @@
     assert_eq!(w.quantile(ms(9_000), 0.5), None);
 }
 
-/// A tier with so many slots, a base time, and queueing beyond: the limit settles by the slots and comes back after a
-/// spell in which the tier is five times slower.
+/// A tier with 20 slots, a base latency, and queueing beyond the slots: the limit settles near the number of slots, and
+/// again after a time in which the tier is five times slower.
 #[test]
-fn the_limit_converges_and_recovers() {
+fn the_concurrency_limit_converges_and_recovers() {
     let s = ConcurrencyLimitSettings { initial: 4.0, minimum: 1.0, maximum: 200.0, tolerance: 1.8 };
     let mut limit = ConcurrencyLimit::new(s);
     let mut now = 0u64;
@@ -326,53 +345,53 @@
         let mut seen = Vec::new();
         for _ in 0..rounds {
             let n = limit.limit();
-            let took = Micros((base * 1e3 * (f64::from(n) / 20.0).max(1.0)) as u64);
+            let latency = Micros((base * 1e3 * (f64::from(n) / 20.0).max(1.0)) as u64);
             let call_started = Micros(now);
-            now += took.0;
+            now += latency.0;
             for _ in 0..n {
-                limit.record_call(Micros(now), call_started, n, CongestionSignal::Latency(took));
+                limit.record_call(Micros(now), call_started, n, CongestionSignal::Latency(latency));
             }
             seen.push(n);
         }
         seen
     };
     let seen = settle(&mut limit, 20.0, 400);
-    // While the least latency is measured anew, the limit is half of what it is.
+    // The limit is halved while the baseline latency is measured anew.
     assert!(seen[100..].iter().all(|n| (12..=40).contains(n)), "{seen:?}");
     let halved = seen[100..].iter().filter(|n| **n < 20).count();
     assert!(halved > 0 && halved < 30, "{halved}");
     let slow = settle(&mut limit, 100.0, 40);
-    assert!(*slow.last().unwrap() <= 20, "{slow:?}");
-    let back = settle(&mut limit, 20.0, 200);
-    assert!((20..=40).contains(back.last().unwrap()), "{back:?}");
+    assert!(*slow.last().expect("rounds were run") <= 20, "{slow:?}");
+    let recovered = settle(&mut limit, 20.0, 200);
+    assert!((20..=40).contains(recovered.last().expect("rounds were run")), "{recovered:?}");
 }
 
 #[derive(Clone, Debug)]
-enum Act {
-    Begin(bool),
-    End(usize, u8),
+enum ClientEvent {
+    StartCall { at_most_once: bool },
+    EndAttempt(usize, u8),
     Wait(u64),
-    Abandon(usize),
+    CancelCall(usize),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn client_event() -> impl Strategy<Value = ClientEvent> {
     prop_oneof![
-        any::<bool>().prop_map(Act::Begin),
-        (0usize..20, 0u8..6).prop_map(|(i, e)| Act::End(i, e)),
-        (1u64..400).prop_map(Act::Wait),
-        (0usize..20).prop_map(Act::Abandon),
+        any::<bool>().prop_map(|at_most_once| ClientEvent::StartCall { at_most_once }),
+        (0usize..20, 0u8..6).prop_map(|(i, e)| ClientEvent::EndAttempt(i, e)),
+        (1u64..400).prop_map(ClientEvent::Wait),
+        (0usize..20).prop_map(ClientEvent::CancelCall),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Further tries never exceed their share of first ones, and the burst.
+    /// Retries never exceed their share of first attempts, plus the burst.
     #[test]
-    fn the_retry_budget_holds(share in 0.0f64..1.0, burst in 0.0f64..20.0, acts in prop::collection::vec(any::<bool>(), 0..500)) {
+    fn retries_stay_within_the_retry_budget(share in 0.0f64..1.0, burst in 0.0f64..20.0, attempts in prop::collection::vec(any::<bool>(), 0..500)) {
         let mut b = RetryBudget::new(share, burst);
         let (mut first, mut retries) = (0u32, 0u32);
-        for is_retry in acts {
+        for is_retry in attempts {
             if is_retry {
                 retries += u32::from(b.try_retry());
             } else {
@@ -383,62 +402,62 @@
         }
     }
 
-    /// Whatever the tiers do: each call ends once, a write is sent once unless it was refused, no try outlasts its
-    /// call, no tier holds more than its limit, and nothing is left in the books.
+    /// For any behaviour of the tiers: each call ends once, a call with a side effect is sent once unless its connection
+    /// was refused, no attempt outlasts its call, no tier exceeds its limit, and no state is left over.
     #[test]
-    fn whatever_the_tiers_do(acts in prop::collection::vec(act(), 1..200)) {
+    fn calls_end_once_and_limits_hold_for_any_behaviour_of_the_tiers(events in prop::collection::vec(client_event(), 1..200)) {
         let limit = ConcurrencyLimitSettings { initial: 5.0, minimum: 2.0, maximum: 8.0, tolerance: 2.0 };
         let retry = RetrySettings { attempts_max: 3, share: 0.3, burst: 4.0, hedge: Some(0.9) };
         let circuit_breaker = CircuitBreakerSettings { failure_share: Some(0.5), min_calls: 6, ..tier("", &[]).circuit_breaker };
         let outlier_ejection = OutlierEjectionSettings { consecutive_failures: Some(3), base_duration: ms(500), min_available_share: 0.4 };
-        let one = |name: &str, ports: &[u16]| TierSettings { limit, retry, circuit_breaker, outlier_ejection, ..tier(name, ports) };
+        let limited_tier = |name: &str, ports: &[u16]| TierSettings { limit, retry, circuit_breaker, outlier_ejection, ..tier(name, ports) };
         let chain = vec![Fallback::Tier(TierId(1)), Fallback::CachedReply(ms(1_000))];
-        let mut t = Table::new(plans(vec![one("a", &[1, 2, 3]), one("b", &[4])], vec![call(0, chain)]));
-        // Tries under way: which, of which call, to which tier; and calls: until when, whether a write, how often sent.
-        let mut live: Vec<(AttemptId, u64, bool)> = Vec::new();
+        let mut harness = Harness::new(plans(vec![limited_tier("a", &[1, 2, 3]), limited_tier("b", &[4])], vec![call(0, chain)]));
+        // Attempts in flight: id, ticket, and whether at tier b. Open calls by ticket: deadline, side effect, times sent.
+        let mut in_flight: Vec<(AttemptId, u64, bool)> = Vec::new();
         let mut calls: std::collections::BTreeMap<u64, (Micros, bool, u32)> = Default::default();
-        for a in acts {
-            let steps = match a {
-                Act::Begin(at_most_once) => {
-                    let until = t.now + ms(1_000);
-                    calls.insert(t.next + 1, (until, at_most_once, 0));
-                    t.begin(at_most_once).1
+        for event in events {
+            let actions = match event {
+                ClientEvent::StartCall { at_most_once } => {
+                    let deadline = harness.now + ms(1_000);
+                    calls.insert(harness.last_ticket + 1, (deadline, at_most_once, 0));
+                    harness.start_call(at_most_once).1
                 }
-                Act::End(i, e) if !live.is_empty() => {
-                    let (id, ticket, _) = live.remove(i % live.len());
+                ClientEvent::EndAttempt(i, e) if !in_flight.is_empty() => {
+                    let (id, ticket, _) = in_flight.remove(i % in_flight.len());
                     let ends = [Outcome::Good, Outcome::Good, Outcome::Full, Outcome::Bad, Outcome::Reset, Outcome::Unreachable];
                     let end = ends[usize::from(e)];
-                    let c = calls.get_mut(&ticket).expect("a call");
-                    // What was refused was never sent.
+                    let c = calls.get_mut(&ticket).expect("the attempt belongs to an open call");
+                    // An attempt whose connection was refused was never sent.
                     c.2 -= u32::from(end == Outcome::Unreachable);
-                    t.ended(id, end)
+                    harness.end_attempt(id, end)
                 }
-                Act::Abandon(i) if !calls.is_empty() => {
-                    let ticket = *calls.keys().nth(i % calls.len()).expect("one");
+                ClientEvent::CancelCall(i) if !calls.is_empty() => {
+                    let ticket = *calls.keys().nth(i % calls.len()).expect("the collection is not empty");
                     calls.remove(&ticket);
                     let mut out = Vec::new();
-                    t.desk.cancel_call(t.now, ticket, &mut out);
+                    harness.client.cancel_call(harness.now, ticket, &mut out);
                     out
                 }
-                Act::Wait(span) => t.wait(span),
+                ClientEvent::Wait(span) => harness.advance(span),
                 _ => Vec::new(),
             };
-            for s in &steps {
-                match s {
+            for action in &actions {
+                match action {
                     CallAction::StartAttempt { attempt, ticket, address, timeout, .. } => {
-                        let c = calls.get_mut(ticket).expect("an open call");
+                        let c = calls.get_mut(ticket).expect("attempts are started for open calls only");
                         c.2 += 1;
-                        prop_assert!(t.now + *timeout <= c.0, "within its call's time");
-                        prop_assert!(!c.1 || c.2 == 1, "a write goes out once");
-                        live.push((*attempt, *ticket, address.port() == 4));
+                        prop_assert!(harness.now + *timeout <= c.0, "the attempt ends within its call's deadline");
+                        prop_assert!(!c.1 || c.2 == 1, "a call with a side effect is sent once");
+                        in_flight.push((*attempt, *ticket, address.port() == 4));
                     }
-                    CallAction::CancelAttempt(id) => live.retain(|l| l.0 != *id),
-                    CallAction::CallFinished { ticket, .. } => prop_assert!(calls.remove(ticket).is_some(), "ended once"),
+                    CallAction::CancelAttempt(id) => in_flight.retain(|l| l.0 != *id),
+                    CallAction::CallFinished { ticket, .. } => prop_assert!(calls.remove(ticket).is_some(), "the call ended twice"),
                     CallAction::CircuitChanged(..) => {}
                 }
             }
-            prop_assert!(live.iter().filter(|l| l.2).count() <= 8 && live.iter().filter(|l| !l.2).count() <= 8);
-            prop_assert_eq!(t.desk.open_calls(), calls.len());
+            prop_assert!(in_flight.iter().filter(|l| l.2).count() <= 8 && in_flight.iter().filter(|l| !l.2).count() <= 8);
+            prop_assert_eq!(harness.client.open_calls(), calls.len());
         }
     }
 }
--- a/tests/tiers.rs
+++ b/tests/tiers.rs
@@ -1,4 +1,4 @@
-//! The tiers below: the operator's file, and calls on real sockets.
+//! Dependency tiers: the operator's file, and calls over real sockets.
 
 mod net;
 
@@ -9,7 +9,7 @@
 use net::*;
 use tokio::time::sleep;
 
-fn run(dir: &std::path::Path, args: &[&str]) -> (bool, String) {
+fn run_holdlift(dir: &std::path::Path, args: &[&str]) -> (bool, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_holdlift"));
     command.args(args).current_dir(dir).env_remove("PROXY_NAME").env_remove("PROXY_LISTEN");
     let out = command.env("PROXY_CONFIG", "config.json").output().unwrap();
@@ -25,7 +25,7 @@
     std::fs::write(dir.join("config.json"), config.to_string()).unwrap();
     let shipped = std::fs::read_to_string("deploy/tiers.toml").unwrap();
     std::fs::write(dir.join("tiers.toml"), &shipped).unwrap();
-    let (good, text) = run(&dir, &["--tiers", "tiers.toml", "tiers"]);
+    let (good, text) = run_holdlift(&dir, &["--tiers", "tiers.toml", "tiers"]);
     assert!(good, "{text}");
     let plans = text.lines().filter(|l| !l.starts_with("  ") || l.contains("limit_") || l.contains("tries"));
     let mut seen: Vec<String> = plans.map(str::to_owned).collect();
@@ -82,7 +82,7 @@
     for (from, to, what) in cases {
         assert!(shipped.contains(from), "{from}");
         std::fs::write(dir.join("tiers.toml"), shipped.replacen(from, to, 1)).unwrap();
-        let (good, text) = run(&dir, &["check", "--tiers", "tiers.toml"]);
+        let (good, text) = run_holdlift(&dir, &["check", "--tiers", "tiers.toml"]);
         assert!(!good, "{what}: {text}");
         seen.push(format!("{what}: {}", text.trim_end()));
     }
@@ -90,9 +90,9 @@
     insta::assert_snapshot!(seen.join("\n"));
 }
 
-/// Calls of a run go where the plan says, what fails is tried elsewhere or replaced, and a write's call is sent once.
+/// The calls of runs follow the plan: a failed call is retried and falls back, and the call of a write is sent once.
 #[tokio::test]
-async fn calls_go_where_the_plan_says() {
+async fn calls_follow_the_plan_with_retries_and_fallbacks() {
     let farm = Farm::new(4);
     let (listener, agent) = bind().await;
     tokio::spawn(farm.clone().agent(listener));
@@ -100,9 +100,9 @@
     let mut at = Vec::new();
     let good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let bad = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n";
-    for (who, reply) in [("ledger", bad), ("sick", bad), ("backup", good)] {
+    for (tier, reply) in [("ledger", bad), ("sick", bad), ("backup", good)] {
         let (listener, address) = bind().await;
-        tokio::spawn(http(listener, who, heard.clone(), reply));
+        tokio::spawn(http(listener, tier, heard.clone(), reply));
         at.push(address);
     }
     let tiers = format!(
@@ -121,16 +121,16 @@
     let node = setup.start().await;
     let mut caller = Caller::connect(node.msgpack).await;
     caller.healthy().await;
-    let mut words = Vec::new();
+    let mut answers = Vec::new();
     for (i, class) in ["quote", "quote", "proof", "quote", "quote", "book-job"].into_iter().enumerate() {
         let name = format!("r{i}");
         caller.ask(1_000 + i as i128, class, fields(&name, &[]), &format!("1 call {name}")).await;
-        words.push(caller.answer().await.unwrap().word);
+        answers.push(caller.answer().await.unwrap().word);
     }
     sleep(Duration::from_millis(50)).await;
-    let count = |who| heard.lock().unwrap().iter().filter(|h| h.0 == who).count();
-    assert_eq!(words, ["ok", "ok", "ok", "ok", "ok", "Error"]);
-    // Two tries each until six have failed; from there on the breaker spares it. The write's one call went to the ledger.
+    let count = |tier| heard.lock().unwrap().iter().filter(|call| call.0 == tier).count();
+    assert_eq!(answers, ["ok", "ok", "ok", "ok", "ok", "Error"]);
+    // Two attempts per call until six have failed and the circuit breaker opens. The write's one call went to the ledger.
     assert_eq!((count("sick"), count("backup"), count("ledger")), (6, 4, 1));
     let (_, good, log) = node.leave().await;
     assert!(good && log.contains("breaker Closed -> Open: 6 of 6 calls failed"), "{log}");
@@ -138,9 +138,9 @@
     assert!(log.contains("tier sick: circuit=Open") && log.contains("first_attempts=3 retries=3"), "{log}");
 }
 
-/// On SIGHUP new calls follow the changed file and those under way end as they were planned; a bad file changes nothing.
+/// After SIGHUP new calls follow the changed file, and open calls end as they were planned; an invalid file changes nothing.
 #[tokio::test]
-async fn changed_tiers_lose_no_call() {
+async fn a_reload_of_the_tiers_loses_no_call() {
     let farm = Farm::new(4);
     let (listener, agent) = bind().await;
     tokio::spawn(farm.clone().agent(listener));
@@ -167,7 +167,7 @@
         [(1_001, "first", 0, file(all[1].1)), (1_002, "second", 1, "[tiers.t]\nendpoints = 7\n".to_owned())]
     {
         caller.ask(id, "quote", fields(name, &[]), &format!("1 call {name}")).await;
-        within("a call", async {
+        within("the call reaches its tier", async {
             while !reached(&all[at].0, name) {
                 sleep(Duration::from_millis(5)).await;
             }
@@ -180,7 +180,10 @@
     for _ in 0..3 {
         assert_eq!(caller.answer().await.unwrap().word, "ok");
     }
-    assert!(!reached(&all[0].0, "third") && reached(&all[1].0, "third"), "the bad file changed nothing");
+    assert!(
+        !reached(&all[0].0, "third") && reached(&all[1].0, "third"),
+        "the invalid file must not change the tiers"
+    );
     let (_, good, log) = node.leave().await;
     assert!(good && log.contains("endpoints: is missing or no list") && log.contains("reloads=1"), "{log}");
 }
