--- a/src/dependencies/prefetch/tests.rs
+++ b/src/dependencies/prefetch/tests.rs
@@ -71,7 +71,7 @@
         ("A", ">A#", "A@400 =Bad", ""),
         ("ab", ">a#>b!", "a@400 =Good+ b@400 =Good", "b|a"),
     ];
-    for (text, events, want, server) in table {
+    for (text, events, expected_actions, expected_result) in table {
         let (mut prefetcher, mut names, mut out) = (Prefetcher::default(), HashMap::new(), Vec::new());
         let (mut number, mut letter) = (0, ' ');
         for event in events.chars() {
@@ -114,11 +114,15 @@
             out.push(describe(actions, &mut names));
         }
         out.retain(|s| !s.is_empty());
-        assert_eq!(out.join(" "), want, "{text} {events}");
-        if !server.is_empty() {
+        assert_eq!(out.join(" "), expected_actions, "{text} {events}");
+        if !expected_result.is_empty() {
             let all = prefetcher.take_result("r");
             let replies: Vec<String> = all.replies.into_iter().map(|(n, _)| n).collect();
-            assert_eq!(format!("{}|{}", replies.join(","), all.missing.join(",")), server, "{text} {events}");
+            assert_eq!(
+                format!("{}|{}", replies.join(","), all.missing.join(",")),
+                expected_result,
+                "{text} {events}"
+            );
         }
         prefetcher.cancel_request("r", &mut Vec::new());
         assert!(
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -475,7 +475,7 @@
     let mut connections: Vec<(ConnectionId, usize, usize, usize)> = Vec::new();
     for event in events {
         let len = connections.len().max(1);
-        let one = |i: usize| connections.get(i % len).copied();
+        let connection_at = |i: usize| connections.get(i % len).copied();
         let mut report = |admission: &mut ConnectionAdmission,
                           c: (ConnectionId, usize, usize, usize),
                           r: ConnectionReport| {
@@ -509,7 +509,7 @@
                 assert!(connections.len() <= 10);
             }
             AdmissionEvent::Send(i, n) => {
-                if let Some(mut c) = one(*i) {
+                if let Some(mut c) = connection_at(*i) {
                     let n = admission.read_allowance(c.0).min(*n);
                     c.1 += n;
                     let instruction = report(&mut admission, c, partial_message(n, c.1));
@@ -517,21 +517,21 @@
                 }
             }
             AdmissionEvent::Submit(i) => {
-                if let Some(mut c) = one(*i) {
+                if let Some(mut c) = connection_at(*i) {
                     (c.1, c.3) = (0, c.3 + 1);
                     let instruction = report(&mut admission, c, whole_message());
                     change = Some((c, matches!(instruction, ReadInstruction::Close(_))));
                 }
             }
             AdmissionEvent::Answer(i, n) => {
-                if let Some(mut c) = one(*i).filter(|c| c.3 > 0) {
+                if let Some(mut c) = connection_at(*i).filter(|c| c.3 > 0) {
                     (c.2, c.3) = (c.2 + n, c.3 - 1);
                     let instruction = report(&mut admission, c, answered());
                     change = Some((c, matches!(instruction, ReadInstruction::Close(_))));
                 }
             }
             AdmissionEvent::AcceptBytes(i, n) => {
-                if let Some(mut c) = one(*i) {
+                if let Some(mut c) = connection_at(*i) {
                     let n = c.2.min(*n);
                     c.2 -= n;
                     let instruction =
@@ -539,7 +539,7 @@
                     change = Some((c, matches!(instruction, ReadInstruction::Close(_))));
                 }
             }
-            AdmissionEvent::Disconnect(i) => change = one(*i).map(|c| (c, true)),
+            AdmissionEvent::Disconnect(i) => change = connection_at(*i).map(|c| (c, true)),
             AdmissionEvent::Wait(span) => {
                 now = now + ms(*span);
                 let due = admission.sweep(now);
@@ -553,11 +553,11 @@
                 }
             }
         }
-        if let Some((c, over)) = change {
+        if let Some((c, is_closed)) = change {
             let at =
                 connections.iter().position(|o| o.0 == c.0).expect("admission names only open connections");
             connections[at] = c;
-            if over {
+            if is_closed {
                 admission.connection_closed(now, c.0, 0);
                 connections.remove(at);
             }
@@ -592,7 +592,7 @@
     ) {
         let progress = Progress { longest: 100.0, ..match Profile::PATIENT.pace {
             Pace::Progress(p) => p,
-            Pace::Fixed => unreachable!(),
+            Pace::Fixed => unreachable!("Profile::PATIENT paces senders by progress"),
         }};
         let profile = Profile { pace: Pace::Progress(progress), ..Profile::PATIENT };
         let size = 1_500u64;
