--- a/src/fleet/compressed_change.rs
+++ b/src/fleet/compressed_change.rs
@@ -1,8 +1,8 @@
 //! A change of the configuration in compressed form, as it goes through the replicated log and to the nodes.
 //!
-//! Compressed, a change that brings all records fits one entry, which a slow link carries within the consensus engine's
-//! timeout. Invariant: at most [`COMPRESSED_MAX`] bytes are decompressed, and to no more than a change may have. Whether a
-//! change is valid is decided by `config_store`.
+//! With compression, a change that sets all records fits one entry, which a slow link carries within the consensus engine's
+//! timeout. Invariant: at most [`COMPRESSED_MAX`] bytes are decompressed, and to no more than a change may have.
+//! `config_store` decides whether a change is valid.
 
 use std::io::{Read, Write};
 
@@ -42,7 +42,7 @@
         self.0.len()
     }
 
-    /// Returns whether it has no bytes, and so is no change.
+    /// Returns whether there are no bytes, which can't be decoded to a change.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -51,7 +51,7 @@
     /// Decompresses and decodes the change.
     ///
     /// # Errors
-    /// Too large before or after decompression, cut off, or corrupt.
+    /// The change is too large before or after decompression, cut off, or corrupt.
     pub fn decompress(&self) -> Result<ChangeSet, DecodeError> {
         if self.0.len() > COMPRESSED_MAX {
             return Err(DecodeError::Length);
--- a/src/fleet/datagram.rs
+++ b/src/fleet/datagram.rs
@@ -1,4 +1,4 @@
-//! The datagrams between the processes of a fleet, and which ones are dropped unread.
+//! The datagrams between the processes of a fleet, and the checks after which they are decoded or dropped.
 //!
 //! A frame is a magic number, a version, a reserved byte, a tag of the fleet's name, the message (postcard) and a checksum
 //! over all of it. That tells other fleets, other programs and corruption apart. It is no protection against an attacker:
@@ -16,11 +16,11 @@
 /// Largest frame, bytes: a lease request for all budgets fits, and it needs no fragmentation on any link.
 pub const FRAME_MAX: usize = 1_400;
 const MAGIC: [u8; 2] = *b"hf";
-/// The only version so far.
+/// The protocol version, byte 2 of a frame.
 const VERSION: u8 = 1;
-/// Bytes before the message.
+/// Bytes of a frame before the message: magic number, version, reserved byte and fleet tag.
 const HEADER_BYTES: usize = 8;
-/// Bytes of the checksum behind the message.
+/// Bytes of the checksum after the message.
 const CHECKSUM_BYTES: usize = 4;
 
 /// One message. Its variants are encoded by their order.
@@ -30,7 +30,7 @@
     LeaseRequest(LeaseRequest),
     /// Replica to node: the response.
     LeaseResponse(LeaseResponse),
-    /// From a replica that does not lead.
+    /// From a replica that does not lead, in answer to a lease request.
     NotLeader {
         /// Number of the request that this answers.
         seq: u64,
@@ -47,7 +47,7 @@
         zone: String,
         /// Epoch of the zone status that the node has.
         epoch: u64,
-        /// One report a zone.
+        /// One report per zone.
         reports: Vec<ZoneHealthReport>,
     },
     /// Replica to node: the status of the zones; empty where the node has that epoch.
@@ -56,14 +56,14 @@
     ZoneOrder {
         /// Name of the zone.
         zone: String,
-        /// The state that is ordered.
+        /// The ordered state.
         order: ZoneOrder,
     },
-    /// From a replica: why an order is not carried out.
+    /// From a replica: why an operator's order is not carried out.
     OrderRejected(String),
     /// Node to replica: which version of the configuration is in force.
     VersionStatus(VersionStatus),
-    /// Replica to node: the newest version that the node may have.
+    /// Replica to node: the newest version of the configuration that the node may have.
     NewestVersion {
         /// Its number.
         revision: Revision,
@@ -78,16 +78,16 @@
     /// Not a frame of this protocol.
     #[error("not a fleet datagram")]
     NotAFrame,
-    /// Of another protocol version.
+    /// The frame has another protocol version.
     #[error("unsupported protocol version")]
     UnsupportedVersion,
-    /// Of another fleet.
+    /// The frame has the tag of another fleet.
     #[error("datagram of another fleet")]
     OtherFleet,
     /// The checksum does not match, or the message can't be decoded.
     #[error("corrupt datagram")]
     Corrupt,
-    /// Larger than [`FRAME_MAX`].
+    /// The frame would be larger than [`FRAME_MAX`].
     #[error("message exceeds the largest datagram")]
     TooLarge,
 }
@@ -122,7 +122,7 @@
     /// Decodes the message of a frame.
     ///
     /// # Errors
-    /// Why the bytes are no message of this fleet.
+    /// The reason why the bytes are not a message of this fleet.
     pub fn decode(&self, bytes: &[u8]) -> Result<FleetMessage, DatagramError> {
         let is_size_valid = (HEADER_BYTES + CHECKSUM_BYTES..=FRAME_MAX).contains(&bytes.len());
         if !is_size_valid || bytes[..2] != MAGIC {
--- a/src/fleet/datagram/tests.rs
+++ b/src/fleet/datagram/tests.rs
@@ -4,9 +4,10 @@
 use crate::fleet::LeaseHolderId;
 use crate::fleet::lease::ledger::BudgetDemand;
 
-fn request() -> FleetMessage {
-    let line = |i: usize| BudgetDemand { budget: format!("{i:032}"), retained: u32::MAX, demand: u32::MAX };
-    let demands = (0..crate::fleet::BUDGETS_MAX).map(line).collect();
+/// The largest lease request: all budgets, and the longest names and numbers.
+fn largest_request() -> FleetMessage {
+    let demand = |i: usize| BudgetDemand { budget: format!("{i:032}"), retained: u32::MAX, demand: u32::MAX };
+    let demands = (0..crate::fleet::BUDGETS_MAX).map(demand).collect();
     let holder = LeaseHolderId { name: "n".repeat(crate::fleet::NAME_MAX), incarnation: u64::MAX };
     FleetMessage::LeaseRequest(LeaseRequest {
         holder,
@@ -20,10 +21,10 @@
 }
 
 #[test]
-fn frames_of_other_fleets_versions_and_corrupt_ones_are_rejected() {
+fn corrupt_frames_and_those_of_other_fleets_or_versions_are_rejected() {
     let codec = DatagramCodec::for_fleet("one-fleet");
-    let good = codec.encode(&request()).expect("the largest request fits");
-    assert_eq!(codec.decode(&good), Ok(request()));
+    let good = codec.encode(&largest_request()).expect("the largest request fits");
+    assert_eq!(codec.decode(&good), Ok(largest_request()));
     assert_eq!(DatagramCodec::for_fleet("other").decode(&good), Err(DatagramError::OtherFleet));
     let changed = |at: usize, by: u8| {
         let mut bytes = good.clone();
@@ -45,14 +46,14 @@
 }
 
 proptest! {
-    /// Whatever comes in, nothing but a frame of this fleet is read, and nothing panics.
+    /// Random bytes are rejected without a panic.
     #[test]
     fn random_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         prop_assert!(DatagramCodec::for_fleet("one-fleet").decode(&bytes).is_err());
     }
 }
 
-/// A node's status fits a frame with the longest name and reason that there may be.
+/// A version status with the longest name and the longest reason fits a frame.
 #[test]
 fn the_largest_version_status_fits() {
     use crate::fleet::version_status::REASON_MAX;
@@ -61,6 +62,6 @@
     let status =
         FleetMessage::VersionStatus(VersionStatus::new(holder, (Revision(u64::MAX), u64::MAX), refused));
     let codec = DatagramCodec::for_fleet("one-fleet");
-    let frame = codec.encode(&status).expect("it fits");
+    let frame = codec.encode(&status).expect("the largest version status fits");
     assert_eq!(codec.decode(&frame), Ok(status));
 }
--- a/src/fleet/leader_tracker.rs
+++ b/src/fleet/leader_tracker.rs
@@ -1,5 +1,5 @@
-//! Which replica a process sends its lease requests to, when the next request is due without a response, and to which
-//! replica a request is sent again that reached one which does not lead. No I/O.
+//! The replica that a process sends its lease requests to, when a request without a response is sent to the next replica,
+//! and the redirect of a request that reached a replica which does not lead. No I/O.
 
 use std::net::SocketAddr;
 
@@ -8,9 +8,9 @@
 
 /// Wait for the first response before the next replica is tried; it doubles up to a quarter of the lease duration.
 const RETRY_AFTER: Micros = Micros::from_millis(150);
-/// Doublings of [`RETRY_AFTER`] at the most, plus one: the shift stays within its type.
+/// Most doublings of [`RETRY_AFTER`], plus one, so that the shift does not overflow.
 const BACKOFF_STEPS_MAX: u32 = 8;
-/// Times that one request is redirected: two replicas that name each other as leader end there.
+/// Most redirects of one request: it ends the loop of two replicas that name each other as leader.
 const REDIRECTS_MAX: u32 = 2;
 
 /// The replica that requests go to.
@@ -29,8 +29,8 @@
 }
 
 impl LeaderTracker {
-    /// Takes the replicas by name and by the address at which this process reaches them. `random` selects the first, so that
-    /// not all processes start with the same one.
+    /// Takes the replicas by name and by the address at which this process reaches them. `random` selects the first, so
+    /// that processes start with different ones.
     #[must_use]
     pub fn new(now: LeaseInstant, replicas: Vec<(String, SocketAddr)>, random: u64) -> LeaderTracker {
         let current = (random % replicas.len().max(1) as u64) as usize;
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Returns when the next request is to be sent because the last one has no response; the largest instant if none is
-    /// pending.
+    /// Returns when the next request is to be sent because the last one has no response; the largest instant if the last one
+    /// has a response.
     #[must_use]
     pub fn next_request_at(&self, lease_duration: Micros) -> LeaseInstant {
         if self.unanswered == 0 {
@@ -66,13 +66,13 @@
         self.frame = frame;
     }
 
-    /// A response was accepted.
+    /// Records that a response was accepted.
     pub fn record_response(&mut self) {
         self.unanswered = 0;
     }
 
-    /// A replica reports that another leads. Returns true where the last frame is to be sent again, to
-    /// [`LeaderTracker::current`].
+    /// Selects the leader that another replica has named. Returns true where the last frame is to be sent again, to
+    /// [`LeaderTracker::current`]; false where the leader is unknown, already in use, or the redirects are used up.
     #[must_use]
     pub fn follow_leader(&mut self, leader: Option<&str>) -> bool {
         let index = leader.and_then(|leader| self.replicas.iter().position(|(name, _)| name == leader));
@@ -96,7 +96,7 @@
         self.replicas.iter().map(|(_, addr)| *addr)
     }
 
-    /// Returns the address of a replica by round robin. The fleet's file names one at the least.
+    /// Returns the address of replica `number` modulo the count of replicas. The fleet's file names at least one replica.
     #[must_use]
     pub fn nth_replica(&self, number: usize) -> SocketAddr {
         self.replicas[number % self.replicas.len().max(1)].1
--- a/src/fleet/lease/budget.rs
+++ b/src/fleet/lease/budget.rs
@@ -1,9 +1,9 @@
 //! One budget of the lease ledger: its capacity, and the lease of each holder.
 //!
 //! The target of a lease depends on all leases of the budget, so computing it visits all of them. That is done only when
-//! something has changed that the targets depend on, and the result is cached beside the leases: a request that says nothing
-//! new touches its own lease only. The cache is not part of the replicated state and is not serialised. A replica may have
-//! filled it at another entry, with the same result.
+//! something has changed that the targets depend on, and the result is cached beside the leases: a request that changes no
+//! target visits its own lease only. The cache is not part of the replicated state and is not serialised. Replicas may fill
+//! it at different entries, with the same result.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +13,8 @@
 use crate::fleet::lease::fair_share::{ShareClaim, fair_share};
 use crate::fleet::lease::ledger::{BudgetCapacity, BudgetDemand, LeaseRequest};
 
-/// Leases of one budget; further holders get none. Several times the largest fleet, so that leases of former incarnations
-/// fit beside those of new ones.
+/// Most leases of one budget; further holders get none. It is several times the largest fleet, so that leases of former
+/// incarnations fit beside those of new ones.
 const LEASES_MAX: usize = 16_384;
 /// Entries after which another node is first to get a unit that can't be divided. At some 50 entries a second that is 5 s or
 /// more, so shares do not alternate within a lease.
@@ -23,23 +23,23 @@
 /// One holder's lease on one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Units that nobody else can have.
+    /// Units reserved for this holder.
     pub amount: u32,
     /// Demand in its last request.
     pub demand: u32,
     /// Number of its last request.
     pub seq: u64,
     weight: u32,
-    /// The request that was last answered with a larger amount than before.
+    /// Number of the last request whose response raised the amount.
     last_grant_seq: u64,
-    /// The ledger's entry count when the holder came: of the processes of a name, the latest goes on.
+    /// The ledger's entry count at the holder's first request. The latest process of a node is the successor.
     created_epoch: u64,
     /// The ledger's entry count at its last request.
     request_epoch: u64,
     has_valid_lease: bool,
     is_leaving: bool,
     #[serde(skip)]
-    cached: Cached<Share>,
+    cached: Cached<LeaseShare>,
 }
 
 /// A cached result. It takes no part in comparisons: ledgers are equal whether they have it or not.
@@ -56,10 +56,10 @@
 
 /// The cached share of a lease.
 #[derive(Clone, Copy, Debug, Default)]
-struct Share {
+struct LeaseShare {
     /// Units that the lease should have.
     target: u32,
-    /// Other leases' targets depend on this lease's amount: its holder leaves, or is not the only process of its name.
+    /// Other leases' targets depend on this lease's amount: its node leaves, or has more than one process.
     affects_others: bool,
 }
 
@@ -73,14 +73,15 @@
 
 /// Cached totals of a budget.
 #[derive(Clone, Debug, Default)]
-struct Totals {
-    /// Sum of all amounts; none until it is first needed after the ledger was decoded.
+struct BudgetTotals {
+    /// Sum of all amounts; `None` until it is first needed after the ledger was decoded.
     leased: Option<u64>,
-    /// What the targets were computed from; none where a lease has changed since in a way that they depend on.
+    /// What the targets were computed from; `None` where a lease has since changed in a way that they depend on.
     inputs: Option<ShareInputs>,
     /// Leases below their target by more than rounding.
     below_target: usize,
-    /// At the last computation each node had one process and none was leaving, and nobody has come, gone or left since.
+    /// At the last computation each node had one process and none was leaving, and since then no lease has been added or
+    /// removed and no process has started to leave.
     has_one_process_per_node: bool,
     /// Leases recomputed so far.
     leases_recomputed: u64,
@@ -91,17 +92,17 @@
 /// Invariant: [`BudgetLedger::grant`] raises amounts by no more than capacity less leased units.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct BudgetLedger {
-    /// As configured.
+    /// The capacity as configured.
     pub configured: BudgetCapacity,
-    /// By the status of the zones.
+    /// Units that may be leased by the status of the zones.
     pub capacity: u32,
     pub min_share: u32,
     leases: BTreeMap<LeaseHolderId, Lease>,
     #[serde(skip)]
-    cached: Cached<Totals>,
+    cached: Cached<BudgetTotals>,
 }
 
-/// What a requester is granted of one budget.
+/// The grant of one budget to one holder.
 pub(super) struct HolderGrant<'a> {
     pub holder: &'a LeaseHolderId,
     pub seq: u64,
@@ -112,12 +113,12 @@
 /// The processes of one node, by incarnation.
 struct NodeLeases<'a> {
     leases: &'a [(&'a LeaseHolderId, &'a Lease)],
-    /// At least one process of it does not leave.
+    /// At least one process of the node does not leave.
     is_staying: bool,
 }
 
 impl NodeLeases<'_> {
-    /// The node's claim: its processes count as one.
+    /// Returns the node's claim, in which its processes count as one.
     fn claim(&self) -> ShareClaim {
         ShareClaim {
             weight: self.leases.iter().map(|(_, lease)| lease.weight).max().unwrap_or(1),
@@ -125,13 +126,13 @@
         }
     }
 
-    /// The index of the process that goes on: the latest that does not leave.
+    /// Returns the index of the latest process that does not leave; it takes over the node's share.
     fn successor(&self) -> Option<usize> {
         let staying = (0..self.leases.len()).filter(|&index| !self.leases[index].1.is_leaving);
         staying.max_by_key(|&index| (self.leases[index].1.created_epoch, self.leases[index].0.incarnation))
     }
 
-    /// Units that the processes other than that one have.
+    /// Returns the units of the node's processes other than the one at `index`.
     fn amount_except(&self, index: usize) -> u32 {
         let others = self.leases.iter().enumerate().filter(|(i, _)| *i != index);
         others.fold(0u32, |sum, (_, (_, lease))| sum.saturating_add(lease.amount))
@@ -154,19 +155,19 @@
         }
     }
 
-    /// Below its target by more than rounding.
+    /// Returns whether the amount is below the target by more than rounding.
     fn is_below_target(&self) -> bool {
         let target = self.cached.0.target;
         target > self.amount.saturating_add(target / 10) && (self.amount == 0 || target > self.amount + 1)
     }
 
-    /// Units that it needs of what it has.
+    /// Returns the units that the holder needs of those that it has.
     fn needed(&self) -> u32 {
         self.demand.min(self.amount)
     }
 
     /// Changes the amount and keeps the totals up to date.
-    fn set_amount(&mut self, amount: u32, totals: &mut Totals) {
+    fn set_amount(&mut self, amount: u32, totals: &mut BudgetTotals) {
         if self.amount == amount {
             return;
         }
@@ -183,8 +184,8 @@
     }
 }
 
-impl Totals {
-    /// A process has come, gone or started to leave.
+impl BudgetTotals {
+    /// Marks the targets as outdated after a lease was added or removed or a process started or stopped leaving.
     fn invalidate_processes(&mut self) {
         (self.inputs, self.has_one_process_per_node) = (None, false);
     }
@@ -224,7 +225,7 @@
         totals.invalidate_processes();
     }
 
-    /// Takes in what a request says of this budget. Returns whether the request gets a response.
+    /// Records a request's demand on this budget. Returns whether the request gets a response.
     pub fn record_request(&mut self, request: &LeaseRequest, demand: &BudgetDemand, epoch: u64) -> bool {
         if self.cached.0.leased.is_none() {
             self.cached.0.leased = Some(self.sum_amounts());
@@ -239,12 +240,12 @@
             }
             None => return false,
         };
-        // A duplicate, or a request that a later one has overtaken, says nothing any more.
+        // A duplicate, or a request that a later one has overtaken, changes nothing.
         if request.seq <= lease.seq {
             return is_new;
         }
         (lease.seq, lease.request_epoch) = (request.seq, epoch);
-        // While a grant may be on its way the holder does not know all that it may use.
+        // Until the holder has seen its last grant, it may use more than it reports as retained.
         if request.acknowledged_seq >= lease.last_grant_seq {
             lease.set_amount(lease.amount.min(demand.retained), totals);
         }
@@ -268,15 +269,15 @@
         })
     }
 
-    /// Computes the share of each lease, in the leases' order. Processes of one name count as one node; the latest gets what
-    /// the others leave.
-    fn compute_shares(&self, rotation: u64) -> Vec<Share> {
+    /// Computes the share of each lease, in the leases' order. Processes of one name count as one node; the latest gets the
+    /// node's share less the units of the others.
+    fn compute_shares(&self, rotation: u64) -> Vec<LeaseShare> {
         let all: Vec<(&LeaseHolderId, &Lease)> = self.leases.iter().collect();
         let nodes: Vec<NodeLeases> = all
             .chunk_by(|left, right| left.0.name == right.0.name)
             .map(|leases| NodeLeases { leases, is_staying: leases.iter().any(|(_, l)| !l.is_leaving) })
             .collect();
-        // A node that leaves and has no successor takes no part in the surplus: it keeps what it needs.
+        // A node that leaves and has no successor gets no part of the surplus: it keeps what it needs.
         let leaving = nodes.iter().filter(|node| !node.is_staying).flat_map(|node| node.leases);
         let reserved = leaving.fold(0u32, |sum, (_, lease)| sum.saturating_add(lease.needed()));
         let claims: Vec<ShareClaim> =
@@ -288,11 +289,11 @@
             let first = shares.len();
             let affects_others = node.leases.len() > 1 || !node.is_staying;
             shares.extend(
-                node.leases.iter().map(|(_, lease)| Share { target: lease.needed(), affects_others }),
+                node.leases.iter().map(|(_, lease)| LeaseShare { target: lease.needed(), affects_others }),
             );
             if let Some(successor) = node.successor().filter(|_| node.is_staying) {
                 let share = node_shares.next().unwrap_or(0);
-                // What a former process has counts for the node, but its successor keeps the minimum share.
+                // The units of a former process count for the node, but its successor gets the minimum share at least.
                 shares[first + successor].target =
                     share.saturating_sub(node.amount_except(successor)).max(self.min_share.min(share));
             }
@@ -301,14 +302,14 @@
     }
 
     /// Computes the shares where there is one process per node: the same result without comparing names.
-    fn compute_shares_by_lease(&self, rotation: u64) -> Vec<Share> {
+    fn compute_shares_by_lease(&self, rotation: u64) -> Vec<LeaseShare> {
         let claim = |lease: &Lease| ShareClaim { weight: lease.weight, demand: lease.demand };
         let claims: Vec<ShareClaim> = self.leases.values().map(claim).collect();
         let targets = fair_share(self.capacity, self.min_share, &claims, rotation);
-        targets.into_iter().map(|target| Share { target, affects_others: false }).collect()
+        targets.into_iter().map(|target| LeaseShare { target, affects_others: false }).collect()
     }
 
-    /// Recomputes the targets of all leases where something has changed that they depend on.
+    /// Recomputes the targets of all leases where anything that they depend on has changed.
     fn update_targets(&mut self, epoch: u64) {
         let inputs = ShareInputs {
             capacity: self.capacity,
@@ -333,7 +334,7 @@
         }
     }
 
-    /// Grants what is free to the holders that requested in this entry and are below their target, the smallest lease first.
+    /// Grants free units to the holders that requested in this entry and are below their target, the smallest lease first.
     pub fn grant<'a>(&mut self, epoch: u64, mut requesters: Vec<&'a LeaseHolderId>) -> Vec<HolderGrant<'a>> {
         self.update_targets(epoch);
         let (leased, capacity) = (self.leased(), u64::from(self.capacity));
--- a/src/fleet/lease/fair_share.rs
+++ b/src/fleet/lease/fair_share.rs
@@ -7,9 +7,9 @@
 //! Invariant: the shares sum to the capacity, and depend on the arguments alone, in integer arithmetic: replicas of any
 //! build compute the same.
 
-/// Fractions of a unit are counted in this many parts.
+/// Parts of a unit, in which fractions are counted.
 const PARTS_PER_UNIT: u128 = 1 << 20;
-/// Fractions that differ by less, in parts, are equal but for rounding.
+/// Fractions that differ by fewer parts than this count as equal, as rounding may cause the difference.
 const EQUAL_PARTS: u128 = 1 << 12;
 
 /// One node's claim.
@@ -17,7 +17,7 @@
 pub struct ShareClaim {
     /// Weight against the other claims; 0 counts as 1.
     pub weight: u32,
-    /// Units that it could use.
+    /// Units that the node could use.
     pub demand: u32,
 }
 
@@ -33,8 +33,8 @@
 
 /// Returns each claim's share, in the claims' order; they sum to `capacity` where there is a claim.
 ///
-/// Each claim gets `min_share` at least, if the capacity suffices for all. `rotation` says which claim is first to get a
-/// unit that can't be divided; with a changing value no claim is always last.
+/// Each claim gets `min_share` at least, if the capacity suffices for all. `rotation` selects the claim that is first to
+/// get a unit that can't be divided; with a changing value no claim is always last.
 #[must_use]
 pub fn fair_share(capacity: u32, min_share: u32, claims: &[ShareClaim], rotation: u64) -> Vec<u32> {
     if claims.is_empty() {
@@ -57,7 +57,7 @@
     left: u64,
 }
 
-/// Raises an even level until no claim with less demand leaves anything to the others.
+/// Raises the level, from an even division on, until claims with less demand than it leave no further units to the others.
 fn find_level(units: u64, demands: &[u64]) -> DemandLevel {
     let count = demands.len() as u64;
     let mut level = units / count;
@@ -72,8 +72,8 @@
     }
 }
 
-/// Where all weights are equal: the same shares as [`weighted_shares`], without sorting. None in the rare case in which it
-/// can't say which claims rounding favours.
+/// Computes the same shares as [`weighted_shares`] without sorting, where all weights are equal. Returns `None` in the rare
+/// case in which it can't determine which claims rounding favours.
 fn equal_weight_shares(
     capacity: u32,
     min_share: u32,
@@ -86,8 +86,8 @@
     let DemandLevel { level, claims_above, left } = find_level(units, &demands);
     let (unit, equal) = (PARTS_PER_UNIT as u64, EQUAL_PARTS as u64);
     let rounded_fraction = |parts: u64| (parts % unit + equal / 2) / equal;
-    // Claims above the level divide what is left; without any, all claims do, on top of their demand. The first of them
-    // may have one part more than the others, which must not make a difference.
+    // Claims above the level divide the units that are left. Without such claims, all claims divide them, in addition to
+    // their demand. The first claims may have one part more than the others, which must not change the result.
     let receivers = if claims_above > 0 { claims_above } else { count };
     let parts = left * unit / receivers;
     let is_uneven = claims_above > 0 && !(left * unit).is_multiple_of(receivers);
@@ -120,7 +120,7 @@
     (missing == 0).then_some(shares)
 }
 
-/// The shares by definition, for any weights.
+/// Computes the shares for any weights, by sorting the claims.
 pub(super) fn weighted_shares(
     capacity: u32,
     min_share: u32,
@@ -143,11 +143,12 @@
     shares
 }
 
-/// Each claim's part of the capacity above the minimum shares, in parts of a unit.
+/// Returns each claim's part of the capacity above the minimum shares, in parts of a unit.
 fn weighted_parts(capacity: u32, min_share: u32, claims: &[ShareClaim]) -> Vec<u128> {
     let demand = |index: usize| u128::from(claims[index].demand_above(min_share)) * PARTS_PER_UNIT;
     let weight = |index: usize| claims[index].weight();
-    // From the least demand by weight on: each gets its demand or, from the first that can't, an even level.
+    // In ascending order of demand by weight, each claim gets its demand. From the first whose demand can't be met, each
+    // gets what is left in proportion to its weight.
     let mut order: Vec<usize> = (0..claims.len()).collect();
     order.sort_by(|&left, &right| {
         (demand(left) * weight(right)).cmp(&(demand(right) * weight(left))).then(left.cmp(&right))
--- a/src/fleet/lease/fair_share/tests.rs
+++ b/src/fleet/lease/fair_share/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn claims(demands: &[u32]) -> Vec<ShareClaim> {
-    demands.iter().map(|w| ShareClaim { weight: 1, demand: *w }).collect()
+    demands.iter().map(|demand| ShareClaim { weight: 1, demand: *demand }).collect()
 }
 
 #[test]
@@ -15,7 +15,7 @@
         (40, 1, &[0, 0, 0, 0], 0, &[10, 10, 10, 10]),
         (40, 1, &[28, 4, 4, 4], 0, &[28, 4, 4, 4]),
         (40, 2, &[100, 0, 0, 0], 0, &[34, 2, 2, 2]),
-        // Fewer pieces than nodes: some have none, and not always the same.
+        // Fewer units than nodes: some nodes get none, and `rotation` changes which.
         (2, 1, &[5, 5, 5], 0, &[1, 1, 0]),
         (2, 1, &[5, 5, 5], 1, &[0, 1, 1]),
         (0, 1, &[5, 5], 0, &[0, 0]),
@@ -24,31 +24,32 @@
         assert_eq!(
             fair_share(capacity, min_share, &claims(demands), rotation),
             shares,
-            "{capacity} by {demands:?}"
+            "capacity {capacity} among demands {demands:?}"
         );
     }
     let heavy = [ShareClaim { weight: 3, demand: 90 }, ShareClaim { weight: 1, demand: 90 }];
     assert_eq!(fair_share(40, 0, &heavy, 0), [30, 10]);
 }
 
-/// The same shares, whichever way they are found: replicas of any build must come to the same.
+/// Both algorithms compute the same shares, as replicas of any build must compute the same.
 fn check_same_shares(
     capacity: u32,
     min_share: u32,
     demands: &[u32],
     first: usize,
 ) -> Result<(), TestCaseError> {
-    let (claims, n) = (claims(demands), demands.len());
-    let min_share = if min_share as usize * n <= capacity as usize { min_share } else { 0 };
-    let slow = weighted_shares(capacity, min_share, &claims, first % n);
-    if let Some(fast) = equal_weight_shares(capacity, min_share, &claims, first % n) {
-        prop_assert_eq!(fast, slow);
+    let (claims, count) = (claims(demands), demands.len());
+    let min_share = if min_share as usize * count <= capacity as usize { min_share } else { 0 };
+    let expected = weighted_shares(capacity, min_share, &claims, first % count);
+    if let Some(shares) = equal_weight_shares(capacity, min_share, &claims, first % count) {
+        prop_assert_eq!(shares, expected);
     }
     Ok(())
 }
 
 proptest! {
-    /// Nothing is lost or made; nobody who demands more has less than somebody who demands as much.
+    /// The shares sum to the capacity. A claim with at least another's demand gets at least its share, but for one unit of
+    /// rounding.
     #[test]
     fn shares_sum_to_the_capacity_and_follow_demand(
         capacity in 0u32..2_000,
@@ -68,7 +69,7 @@
     }
 
     #[test]
-    fn equal_weight_shares_equal_the_sorted_ones(
+    fn equal_weight_shares_equal_the_weighted_ones(
         capacity in 0u32..2_000,
         min_share in 0u32..4,
         demands in proptest::collection::vec(0u32..200, 1..60),
@@ -77,16 +78,16 @@
         check_same_shares(capacity, min_share, &demands, first)?;
     }
 
-    /// Figures of any size, and many nodes: fractions get as small as rounding.
+    /// Large values and many nodes make the fractions of a unit as small as rounding errors.
     #[test]
-    fn equal_weight_shares_equal_the_sorted_ones_at_any_size(
+    fn equal_weight_shares_equal_the_weighted_ones_at_any_size(
         capacity in any::<u32>(),
         shift in 0u32..32,
         min_share in 0u32..3,
         demands in proptest::collection::vec((any::<u32>(), 0u32..32), 1..1_500),
         first in 0usize..1_500,
     ) {
-        let demands: Vec<u32> = demands.into_iter().map(|(w, by)| w >> by).collect();
+        let demands: Vec<u32> = demands.into_iter().map(|(demand, shift)| demand >> shift).collect();
         check_same_shares(capacity >> shift, min_share, &demands, first)?;
     }
 }
--- a/src/fleet/lease/ledger.rs
+++ b/src/fleet/lease/ledger.rs
@@ -4,7 +4,7 @@
 //!
 //! Invariant: an amount grows only in [`LeaseLedger::apply`] on requests, by no more than what is free. It shrinks only by
 //! what its holder reports as retained once it has seen the last grant, or by an [`LedgerEntry::ExpireLeases`] that no later
-//! request has overtaken. Who proposes entries, and when, is not decided here.
+//! request has overtaken. Other modules decide which replica proposes entries, and when.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 use crate::fleet::{BUDGETS_MAX, CapacityScope, LeaseHolderId, NAME_MAX};
 use crate::zone::{ZoneOrder, ZoneStatusMap, ZoneStatusUpdate};
 
-/// A process requests or renews its leases.
+/// A process's request for leases or for their renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The process.
@@ -25,24 +25,24 @@
     pub seq: u64,
     /// The process accepts no response to a request up to this number: it has applied that response, or renounced it.
     pub acknowledged_seq: u64,
-    /// The process has valid leases. One without may not receive responses, so it gets the minimum share only.
+    /// The process has valid leases. A process without them may not receive responses, so it gets the minimum share only.
     pub has_valid_lease: bool,
     /// Weight against other nodes.
     pub weight: u32,
-    /// The process is to leave: it demands what it still needs and takes no part in the surplus.
+    /// The process is to leave: it requests only what it still needs and gets no part of the surplus.
     pub is_leaving: bool,
-    /// One entry a budget.
+    /// The demand on each budget.
     pub demands: Vec<BudgetDemand>,
 }
 
-/// What a request says about one budget.
+/// A request's demand on one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetDemand {
     /// Name of the budget.
     pub budget: String,
-    /// From this request on the process uses no more than this, until a response says otherwise.
+    /// Units that the process uses at the most after this request, until a response changes its limit.
     pub retained: u32,
-    /// How much it could use.
+    /// Units that it could use.
     pub demand: u32,
 }
 
@@ -85,12 +85,13 @@
     ZoneOrder {
         /// Name of the zone.
         zone: String,
-        /// The state that is ordered.
+        /// The ordered state.
         order: ZoneOrder,
     },
     /// A change of the configuration. The ledger only counts it; [`crate::fleet::replica_state::ReplicaState`] applies it.
     ConfigChange(CompressedChange),
-    /// Whether a version of the configuration may go to all nodes. The ledger only counts it, as above.
+    /// Whether a version of the configuration may go to all nodes. The ledger only counts it;
+    /// [`crate::fleet::replica_state::ReplicaState`] applies it.
     RolloutDecision(RolloutDecision),
 }
 
@@ -103,18 +104,18 @@
     pub seq: u64,
     /// The ledger's entry count.
     pub epoch: u64,
-    /// One entry a budget.
+    /// The grant of each budget.
     pub grants: Vec<BudgetGrant>,
 }
 
-/// What a response says about one budget.
+/// A response's grant of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetGrant {
     /// Name of the budget.
     pub budget: String,
-    /// Units that the ledger has for the holder.
+    /// Units leased to the holder.
     pub amount: u32,
-    /// Units that the holder is to come down to; the amount where none are to be returned.
+    /// Units that the holder is to reduce its use to; equal to `amount` where it returns none.
     pub target: u32,
 }
 
@@ -128,7 +129,7 @@
 }
 
 impl LeaseLedger {
-    /// Applies an entry. Returns the responses to the requests in it that said something new.
+    /// Applies an entry. Returns the responses to those of its requests that are not outdated.
     #[must_use]
     pub fn apply(&mut self, entry: &LedgerEntry) -> Vec<LeaseResponse> {
         self.epoch += 1;
@@ -141,7 +142,7 @@
                     self.update_capacities();
                 }
             }
-            // Whoever proposes an order that can't be carried out has been told the reason.
+            // An order that can't be carried out changes nothing; its reason was reported when it was proposed.
             LedgerEntry::ZoneOrder { zone, order } => {
                 if self.zones.apply_order(zone, *order).is_ok() {
                     self.update_capacities();
@@ -211,7 +212,7 @@
         responses.into_values().collect()
     }
 
-    /// Takes in what requests say. Returns, for each budget, the holders whose requests are not outdated.
+    /// Records the demands of requests. Returns, for each budget, the holders whose requests are not outdated.
     fn record_requests<'a>(
         &mut self,
         requests: &'a [LeaseRequest],
@@ -237,7 +238,8 @@
         changed.map(|budget| budget.leases().len()).sum()
     }
 
-    /// Returns how many leases this process has recomputed so far: the work of entries beyond the leases that they name.
+    /// Returns how many leases this process has recomputed so far. It measures the work of entries beyond the leases that
+    /// they name.
     #[must_use]
     pub fn leases_recomputed(&self) -> u64 {
         self.budgets.values().map(BudgetLedger::leases_recomputed).sum()
--- a/src/fleet/lease/ledger/tests/plain.rs
+++ b/src/fleet/lease/ledger/tests/plain.rs
@@ -15,18 +15,18 @@
 /// One holder's lease on one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Units that nobody else can have.
+    /// Units reserved for this holder.
     pub amount: u32,
     /// Demand in its last request.
     pub demand: u32,
-    /// Its last request.
+    /// Number of its last request.
     pub seq: u64,
     weight: u32,
-    /// The request that was last answered with more than before.
+    /// Number of the last request whose response raised the amount.
     last_grant_seq: u64,
-    /// When it came, by the ledger's entry count: the latest process of a name is the one that goes on.
+    /// The ledger's entry count at the holder's first request. The latest process of a node is the successor.
     created_epoch: u64,
-    /// The holder's last request, by the ledger's entry count.
+    /// The ledger's entry count at its last request.
     request_epoch: u64,
     has_valid_lease: bool,
     is_leaving: bool,
@@ -34,15 +34,15 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct ModelBudget {
-    /// As configured.
+    /// The capacity as configured.
     configured: BudgetCapacity,
-    /// By the status of the zones.
+    /// Units that may be leased by the status of the zones.
     capacity: u32,
     min_share: u32,
     leases: BTreeMap<LeaseHolderId, Lease>,
 }
 
-/// The ledger.
+/// The model of the ledger, with the same encoding.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelLedger {
     /// Entries applied so far.
@@ -66,12 +66,12 @@
         self.leases.values().map(|l| u64::from(l.amount)).sum()
     }
 
-    /// What each lease should have, in the leases' order. Processes of one name count as one; the latest has what the
-    /// others leave.
+    /// Computes the target of each lease, in the leases' order. Processes of one name count as one node; the latest gets the
+    /// node's share less the units of the others.
     fn targets(&self, rotation: u64) -> Vec<u32> {
         let all: Vec<(&LeaseHolderId, &Lease)> = self.leases.iter().collect();
         let needed = |l: &Lease| l.demand.min(l.amount);
-        // Who leaves and has no successor takes no part in the surplus: it keeps what it needs.
+        // A node that leaves and has no successor gets no part of the surplus: it keeps what it needs.
         let nodes: Vec<(&[(&LeaseHolderId, &Lease)], bool)> = all
             .chunk_by(|a, b| a.0.name == b.0.name)
             .map(|node| (node, node.iter().any(|(_, l)| !l.is_leaving)))
@@ -99,21 +99,21 @@
                 let share = shares.next().unwrap_or(0);
                 let others = node.iter().enumerate().filter(|(i, _)| *i != latest);
                 let others = others.fold(0u32, |sum, (_, (_, l))| sum.saturating_add(l.amount));
-                // What a former process holds counts for the node, but a newcomer is not left with nothing for that.
+                // The units of a former process count for the node, but its successor gets the minimum share at least.
                 targets[first + latest] = share.saturating_sub(others).max(self.min_share.min(share));
             }
         }
         targets
     }
 
-    /// Grants what is free to the holders that requested in this entry and are below their target.
+    /// Grants free units to the holders that requested in this entry and are below their target.
     fn grant(&mut self, epoch: u64) -> Vec<(LeaseHolderId, u64, u32, u32)> {
         let targets = self.targets(epoch / ROTATION_ENTRIES);
         let (leased, min_share) = (self.leased(), self.min_share.max(1));
         let (mut free, is_over_capacity) =
             (u64::from(self.capacity).saturating_sub(leased) as u32, leased > u64::from(self.capacity));
         let mut leases: Vec<(&LeaseHolderId, &mut Lease)> = self.leases.iter_mut().collect();
-        // Shares go back only where somebody is short by more than a rounding, so that shares are stable.
+        // Units are returned only where a lease is below its target by more than rounding, so that shares are stable.
         let is_demand_unmet = leases.iter().zip(&targets).any(|((_, l), &target)| {
             target > l.amount.saturating_add(target / 10) && (l.amount == 0 || target > l.amount + 1)
         });
@@ -144,7 +144,7 @@
 }
 
 impl ModelLedger {
-    /// Applies an entry; the responses to the requests in it that said something new.
+    /// Applies an entry. Returns the responses to those of its requests that are not outdated.
     #[must_use]
     pub fn apply(&mut self, entry: &LedgerEntry) -> Vec<LeaseResponse> {
         self.epoch += 1;
@@ -154,22 +154,22 @@
                 Vec::new()
             }
             LedgerEntry::ExpireLeases(all) => {
-                for s in all {
-                    let Some(budget) = self.budgets.get_mut(&s.budget) else { continue };
-                    if budget.leases.get(&s.holder).is_some_and(|l| l.seq == s.seq) {
-                        budget.leases.remove(&s.holder);
+                for expired in all {
+                    let Some(budget) = self.budgets.get_mut(&expired.budget) else { continue };
+                    if budget.leases.get(&expired.holder).is_some_and(|lease| lease.seq == expired.seq) {
+                        budget.leases.remove(&expired.holder);
                     }
                 }
                 Vec::new()
             }
             LedgerEntry::LeaseRequests(requests) => self.grant_leases(requests),
-            LedgerEntry::ZoneUpdate(change) => {
-                if self.zones.apply(change) {
+            LedgerEntry::ZoneUpdate(update) => {
+                if self.zones.apply(update) {
                     self.update_capacities();
                 }
                 Vec::new()
             }
-            // Whoever proposes an order that can't be carried out has been told the reason.
+            // An order that can't be carried out changes nothing; its reason was reported when it was proposed.
             LedgerEntry::ZoneOrder { zone, order } => {
                 if self.zones.apply_order(zone, *order).is_ok() {
                     self.update_capacities();
@@ -190,18 +190,22 @@
 
     /// A budget that is not configured any more keeps its leases until they have expired, and grants nothing.
     fn set_capacities(&mut self, all: &[BudgetCapacity]) {
-        self.budgets.retain(|name, s| !s.leases.is_empty() || all.iter().any(|w| w.budget == *name));
-        self.budgets.values_mut().for_each(|s| (s.configured.capacity, s.min_share) = (0, 0));
-        for w in all.iter().filter(|w| w.budget.len() <= NAME_MAX).take(BUDGETS_MAX) {
-            let budget = self.budgets.entry(w.budget.clone()).or_default();
-            (budget.configured, budget.min_share) = (w.clone(), w.min_share);
+        self.budgets.retain(|name, budget| {
+            !budget.leases.is_empty() || all.iter().any(|configured| configured.budget == *name)
+        });
+        for budget in self.budgets.values_mut() {
+            (budget.configured.capacity, budget.min_share) = (0, 0);
+        }
+        for configured in all.iter().filter(|c| c.budget.len() <= NAME_MAX).take(BUDGETS_MAX) {
+            let budget = self.budgets.entry(configured.budget.clone()).or_default();
+            (budget.configured, budget.min_share) = (configured.clone(), configured.min_share);
         }
         self.update_capacities();
     }
 
     fn grant_leases(&mut self, requests: &[LeaseRequest]) -> Vec<LeaseResponse> {
         let epoch = self.epoch;
-        for request in requests.iter().filter(|a| a.holder.name.len() <= NAME_MAX) {
+        for request in requests.iter().filter(|request| request.holder.name.len() <= NAME_MAX) {
             for demand in request.demands.iter().take(BUDGETS_MAX) {
                 let Some(budget) = self.budgets.get_mut(&demand.budget) else { continue };
                 if !budget.leases.contains_key(&request.holder) && budget.leases.len() >= LEASES_MAX {
@@ -218,12 +222,12 @@
                     has_valid_lease: false,
                     is_leaving: false,
                 });
-                // A duplicate, or a request that a later one has overtaken, says nothing any more.
+                // A duplicate, or a request that a later one has overtaken, changes nothing.
                 if request.seq <= lease.seq {
                     continue;
                 }
                 (lease.seq, lease.request_epoch) = (request.seq, epoch);
-                // While a grant may be on its way the holder does not know all that it may use.
+                // Until the holder has seen its last grant, it may use more than it reports as retained.
                 if request.acknowledged_seq >= lease.last_grant_seq {
                     lease.amount = lease.amount.min(demand.retained);
                 }
--- a/src/fleet/lease/mod.rs
+++ b/src/fleet/lease/mod.rs
@@ -1,7 +1,7 @@
-//! Leases on fleet-wide budgets: the replicated ledger, how a budget is divided, and a process's own part of it.
+//! Leases on fleet-wide budgets: the replicated ledger, how a budget is divided, and the leases that a process holds.
 //!
-//! The replicas agree on the entries of the [`ledger`]; [`fair_share`] says how much of a budget each process is due, and
-//! [`request_batcher`] which requests go into the next entry. [`holder`] is the side of the process that holds leases.
+//! The replicas agree on the entries of the [`ledger`]; [`fair_share`] computes each process's share of a budget, and
+//! [`request_batcher`] selects the requests of the next entry. [`holder`] is the side of the process that holds leases.
 
 pub mod budget;
 pub mod fair_share;
--- a/src/fleet/lease/renewals.rs
+++ b/src/fleet/lease/renewals.rs
@@ -1,7 +1,7 @@
 //! When this replica applied the last request of each lease of one budget, the oldest first.
 //!
-//! A search for expired leases visits expired leases only, and a renewal moves its own lease to the end. The leases
-//! themselves, and when one counts as expired, are not decided here.
+//! A search for expired leases visits expired leases only, and a renewal moves its own lease to the end. Other modules
+//! hold the leases and decide when one counts as expired.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,11 +10,11 @@
 
 /// Renewals of the leases of one budget.
 ///
-/// Invariant: each holder has one entry in either map.
+/// Invariant: each holder has one entry in each of the two maps.
 #[derive(Debug, Default)]
 pub struct RenewalTracker {
     by_holder: HashMap<LeaseHolderId, Renewal>,
-    /// By time of application and a serial number, as many are applied at one instant.
+    /// Holders by the time of application and a serial number, as several renewals may be applied at one instant.
     by_age: BTreeMap<(LeaseInstant, u64), LeaseHolderId>,
     next_serial: u64,
 }
@@ -27,7 +27,7 @@
 }
 
 impl RenewalTracker {
-    /// Records that request `seq` of the holder was applied at `now`. A duplicate leaves the lease as old as it was.
+    /// Records that request `seq` of the holder was applied at `now`. A duplicate does not change the lease's age.
     pub fn record(&mut self, now: LeaseInstant, holder: &LeaseHolderId, seq: u64) {
         let renewal = Renewal { seq, applied_at: now, serial: self.next_serial };
         let holder = match self.by_holder.get_mut(holder) {
--- a/src/fleet/lease/request_batcher/tests.rs
+++ b/src/fleet/lease/request_batcher/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// A ledger with so many nodes that demand one unit each.
+/// Returns a ledger with this many nodes, each with a demand of one unit.
 fn ledger(nodes: usize) -> LeaseLedger {
     let mut ledger = LeaseLedger::default();
     let capacity =
@@ -24,32 +24,37 @@
     ledger
 }
 
-fn seqs(all: Vec<(LeaseRequest, ())>) -> Vec<u64> {
-    all.into_iter().map(|(a, ())| a.seq).collect()
+fn seqs(requests: Vec<(LeaseRequest, ())>) -> Vec<u64> {
+    requests.into_iter().map(|(request, ())| request.seq).collect()
 }
 
-/// A renewal goes at once; a request with another demand waits for others like it, 60 ms at the most, and for less in a small
-/// fleet.
+/// A renewal is due at once. A request that changes the demand waits for up to 60 ms after the last recomputation, and for
+/// less in a small fleet.
 #[test]
 fn renewals_are_due_at_once_and_recomputations_are_spaced() {
     let (large, small) = (ledger(20_000), ledger(100));
     let mut batcher = RequestBatcher::default();
     let at = |ms: u64| LeaseInstant(1_000_000 + ms * 1_000);
     batcher.push(&large, request(1, 2, 5), ());
-    assert_eq!(seqs(batcher.take_due(at(0))), [2], "the first for long");
+    assert_eq!(seqs(batcher.take_due(at(0))), [2], "no recomputation has happened lately");
     batcher.push(&large, request(2, 3, 5), ());
     batcher.push(&large, request(3, 4, 1), ());
-    assert_eq!(seqs(batcher.take_due(at(20))), [4], "the renewal");
+    assert_eq!(seqs(batcher.take_due(at(20))), [4], "only the renewal is due");
     batcher.push(&large, request(4, 5, 5), ());
     assert!(batcher.take_due(at(59)).is_empty());
     assert!(!batcher.is_empty());
-    assert_eq!(seqs(batcher.take_due(at(60))), [3, 5], "both in one entry");
+    assert_eq!(
+        seqs(batcher.take_due(at(60))),
+        [3, 5],
+        "both requests that change the demand are due in one entry"
+    );
     assert!(batcher.is_empty());
     batcher.push(&small, request(5, 6, 5), ());
-    assert_eq!(seqs(batcher.take_due(at(61))), [6], "a hundred leases are recomputed quickly");
+    assert_eq!(seqs(batcher.take_due(at(61))), [6], "a recomputation of 100 leases is due after 1 ms");
 }
 
-/// Of each node the last request counts, whatever it says; a late one before it does not take its place.
+/// Only the last request of a node is kept, whether it changes the demand or not; one that arrives after a later one does
+/// not replace it.
 #[test]
 fn only_the_last_request_of_a_holder_waits() {
     let ledger = ledger(20_000);
@@ -65,7 +70,7 @@
     assert_eq!(seqs(batcher.take_due(LeaseInstant(2_000_000))), [6]);
 }
 
-/// Waiting requests are bounded, and so are those of an entry.
+/// At most `WAITING_MAX` requests wait, and an entry has at most `REQUESTS_MAX`.
 #[test]
 fn waiting_requests_and_entries_are_bounded() {
     let ledger = ledger(20_000);
@@ -78,5 +83,5 @@
     (0..WAITING_MAX).for_each(|n| batcher.push(&ledger, request(n, 4, 5), ()));
     assert_eq!(batcher.remaining_capacity(), REQUESTS_MAX);
     let _ = batcher.take_due(LeaseInstant(1_000_001));
-    assert_eq!(batcher.remaining_capacity(), 0, "none are taken in before those that are ready have gone");
+    assert_eq!(batcher.remaining_capacity(), 0, "no room until the requests that are ready were taken");
 }
--- a/src/fleet/membership/anti_entropy.rs
+++ b/src/fleet/membership/anti_entropy.rs
@@ -1,9 +1,10 @@
-//! Anti-entropy (Demers et al., 1987): a process fetches the members that gossip has not carried to it.
+//! Anti-entropy (Demers et al., 1987): a process fetches the members that it has not received by gossip.
 //!
-//! From time to time a process sends another the digest of its list. If the other's is the same, it sends nothing; else it
-//! responds with the digests of its partitions, receives what the first process knows in the partitions that differ, and
-//! sends what that process lacks. Only the first process learns. Bounds: the partitions, the frames of a response, and the
-//! bytes of responses per second. What is done with a member is decided in the parent module.
+//! A process periodically sends the digest of its member list to another. If the receiver's list has the same digest, it
+//! sends nothing. Otherwise it responds with the digests of its partitions, receives the short digests of the members that
+//! the first process knows in the partitions that differ, and sends the members that the first process lacks. Only the first
+//! process learns members. The number of partitions, the frames of a response and the bytes of responses per second are
+//! bounded. The parent module decides what is done with a received member.
 
 use std::net::SocketAddr;
 
@@ -16,21 +17,22 @@
 /// The first bytes of each message. An earlier release reads them as a name that is longer than any datagram: it drops the
 /// message and counts it.
 pub const ANTI_ENTROPY_PREFIX: [u8; 4] = [0xff, 0xff, 0xff, 0x7f];
-/// Partitions of a list.
+/// Partitions of a member list.
 const PARTITIONS: u64 = 64;
-/// Frames of one response.
+/// Most frames of one response.
 const RESPONSE_FRAMES_MAX: usize = 1;
 /// Bytes of a frame for member records; the rest is for the prefix and the sender.
 const RECORD_BYTES_MAX: usize = MESSAGE_MAX - 160;
-/// Bytes of responses per second. All processes ask those that started first, as few others are known at a start.
+/// Most bytes of responses per second. When a fleet starts, few processes are known, so all others send their digests to the
+/// ones that started first.
 const RESPONSE_BYTES_PER_S: u64 = 3_000;
-/// Bytes of responses at once after a pause.
+/// Most bytes of responses at once after a pause.
 const RESPONSE_BURST_BYTES: u64 = 3_000;
 /// Mean interval at which a process sends its digest.
 const REQUEST_INTERVAL: Micros = Micros::from_millis(2_000);
-/// Mean interval after something was learned.
+/// Mean interval until the next digest after a member was learned.
 const REQUEST_INTERVAL_LEARNING: Micros = Micros::from_millis(1_000);
-/// Most bytes of a response to partition digests, which the sender of the digests takes in.
+/// Most bytes of a response to partition digests. The sender of the digests counts them against its limit on responses.
 pub const PARTITIONS_WANTED_MAX: usize = 1_200;
 
 /// The digest of one member: its name, address and incarnation.
@@ -46,7 +48,7 @@
             SocketAddr::V4(addr) => key ^ u64::from(addr.ip().to_bits()),
             SocketAddr::V6(addr) => addr.ip().octets().iter().fold(key, |hash, byte| fnv_step(hash, *byte)),
         };
-        MemberDigest(mix(mix(key) ^ member.incarnation))
+        MemberDigest(mix_bits(mix_bits(key) ^ member.incarnation))
     }
 
     fn partition(self) -> u8 {
@@ -65,19 +67,19 @@
     (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
 }
 
-/// FNV-1a of a name.
+/// Returns the FNV-1a hash of a name.
 pub fn name_hash(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, fnv_step)
 }
 
-/// Spreads the bits (the finalizer of MurmurHash3).
-fn mix(mut bits: u64) -> u64 {
+/// Mixes the bits of a hash (the finalizer of MurmurHash3).
+fn mix_bits(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     bits = (bits ^ (bits >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     bits ^ (bits >> 33)
 }
 
-/// The digest of a list, and those of its partitions.
+/// The digest of a member list, and the digests of its partitions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartitionDigests {
     list: u64,
@@ -92,7 +94,7 @@
             let sum = &mut sums[usize::from(digest.partition())];
             *sum = sum.wrapping_add(digest.0);
         }
-        let list = sums.iter().fold(0, |list, sum| mix(list ^ sum));
+        let list = sums.iter().fold(0, |list, sum| mix_bits(list ^ sum));
         PartitionDigests { list, partitions: sums.iter().map(|sum| MemberDigest(*sum).shorten()).collect() }
     }
 
@@ -109,16 +111,16 @@
     }
 }
 
-/// One member as it is sent. Its zone and region are sent beside the records, each pair once.
+/// One member in a message. Its zone and region are in the message's labels, each pair once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     name: String,
     incarnation: u64,
     addr: SocketAddr,
     role: Role,
-    /// Index of its zone and region.
+    /// Index of the member's zone and region in the message's labels.
     label: u8,
-    /// Times that it has refuted its failure.
+    /// How often the member has refuted its failure.
     refutations: u16,
     is_down: bool,
 }
@@ -145,9 +147,9 @@
 /// What a process knows of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KnownMember {
-    /// It is up; the number is how often it has refuted its failure.
+    /// The member is up; the number is how often it has refuted its failure.
     Up(Member, u16),
-    /// It is down.
+    /// The member is down.
     Down(Member),
 }
 
@@ -161,7 +163,7 @@
     }
 }
 
-/// A partition, and the members of it that a process knows to be up.
+/// The index of a partition, and the members of it that a process knows to be up.
 pub type WantedPartition = (u8, Vec<ShortDigest>);
 
 /// The zones and regions of a frame's records.
@@ -172,9 +174,9 @@
 pub enum RepairMessage {
     /// The digest of the sender's list.
     ListDigest(u64),
-    /// The digests of the sender's partitions, whose list differs.
+    /// The digests of the sender's partitions, in response to a list digest that differs from its own.
     PartitionDigests(Vec<ShortDigest>),
-    /// What the sender knows in these partitions; it wants to learn what else there is.
+    /// The members that the sender knows in these partitions; it requests the others.
     PartitionsWanted(Vec<WantedPartition>),
     /// Members that the receiver lacks.
     Members {
@@ -197,22 +199,22 @@
 }
 
 impl RepairEnvelope {
-    /// Returns the bytes with the prefix; none where they exceed a frame.
+    /// Returns the bytes with the prefix; `None` where they exceed [`MESSAGE_MAX`].
     #[must_use]
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_extend(self, ANTI_ENTROPY_PREFIX.to_vec()).ok();
         bytes.filter(|bytes| bytes.len() <= MESSAGE_MAX)
     }
 
-    /// Decodes the bytes behind the prefix.
+    /// Decodes the bytes after the prefix; `None` where they are no message.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<RepairEnvelope> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-/// Returns the request for the partitions whose digests differ from `theirs`, with what is known in each; as many as fit,
-/// from partition `start` on. None where no digest differs.
+/// Returns the request for the partitions whose digests differ from `theirs`, with the members known in each. It has as many
+/// partitions as fit, from partition `start` on. Returns `None` where no digest differs.
 #[must_use]
 pub fn partitions_wanted<'a>(
     mine: &PartitionDigests,
@@ -255,7 +257,7 @@
 }
 
 impl ResponseFrames {
-    /// Adds a record; false where there is no room for it.
+    /// Adds a record. Returns false where there is no room for it.
     fn push(&mut self, member: &Member, record: MemberRecord) -> bool {
         let bytes = postcard::to_allocvec(&record).map_or(RECORD_BYTES_MAX, |bytes| bytes.len());
         let bytes_with_label = bytes + member.zone.len() + member.region.len() + 4;
@@ -280,8 +282,8 @@
     }
 }
 
-/// Returns the response to wanted partitions: members that are up and not listed there, and members that are listed there
-/// and down.
+/// Returns the response to wanted partitions: members that are up and not listed in the request, and members that are
+/// listed in it and down.
 #[must_use]
 pub fn missing_members(
     wanted: &[WantedPartition],
@@ -341,19 +343,19 @@
         self.next_request_at
     }
 
-    /// The digest is sent now; `random` keeps processes out of step.
+    /// Records that the digest is sent now. `random` is for the jitter that keeps processes from sending at the same time.
     pub fn record_request(&mut self, now: LeaseInstant, random: u64) {
         self.next_request_at = now + with_jitter(REQUEST_INTERVAL, random);
     }
 
-    /// Something was learned, so there may be more to learn.
+    /// Records that members were learned, and brings the next digest forward: there may be more to learn.
     pub fn record_learned(&mut self, now: LeaseInstant, random: u64) {
         let next = now + with_jitter(REQUEST_INTERVAL_LEARNING, random);
         self.next_request_at = self.next_request_at.min(next);
     }
 
-    /// Returns whether a response of so many bytes may be sent now, and counts it then. A process that all others ask
-    /// responds to some, and the rest ask elsewhere.
+    /// Returns whether a response of `bytes` may be sent now, and if so takes the bytes from the token bucket. A process
+    /// that receives digests from all others responds to some; the rest send their next digest to another process.
     #[must_use]
     pub fn try_respond(&mut self, now: LeaseInstant, bytes: usize) -> bool {
         let elapsed_us = (now - self.refilled_at).0.min(1_000_000);
@@ -370,7 +372,7 @@
     }
 }
 
-/// The interval, between 3/4 and 5/4 of it.
+/// Returns a random interval between 3/4 and 5/4 of the given one.
 fn with_jitter(interval: Micros, random: u64) -> Micros {
     Micros(interval.0 * 3 / 4 + random % (interval.0 / 2))
 }
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -1,11 +1,11 @@
-//! Which processes are up: SWIM membership (Das et al., 2002) by `foca`, and anti-entropy for what gossip has missed.
+//! Which processes are up: SWIM membership (Das et al., 2002) by `foca`, and anti-entropy for updates that gossip missed.
 //!
 //! It is a failure detector and may be wrong: no permit or lease is freed because of it. A process that was only stopped
 //! refutes its failure under a new incarnation. Invariant: an old incarnation never replaces a newer one.
 //!
-//! Gossip alone leaves some processes uninformed, and two parts of a fleet that lost each other would stay apart. So each
-//! process fetches what it lacks from others (`anti_entropy`), and announces itself to the replicas that it does not know
-//! (`docs/design/membership.md`). No I/O; the caller passes datagrams and the time.
+//! With gossip alone some processes miss updates, and a partitioned fleet would stay partitioned after the network heals. So
+//! each process fetches missing members from others (`anti_entropy`), and announces itself to the replicas that it does not
+//! know (`docs/design/membership.md`). No I/O; the caller passes datagrams and the time.
 
 mod anti_entropy;
 
@@ -27,18 +27,18 @@
 use crate::fleet::datagram::FRAME_MAX;
 use crate::interface::Micros;
 
-/// Most members; further ones are not taken in. Two to three times the largest fleet.
+/// Most members; further ones are not added. Two to three times the largest fleet.
 const MEMBERS_MAX: usize = 16_384;
-/// Largest message of membership, bytes: the rest of the frame is its header.
+/// Largest membership message, bytes; the rest of the frame is for its header and checksum.
 const MESSAGE_MAX: usize = FRAME_MAX - 32;
-/// Interval at which a process probes one other.
+/// Interval at which a process probes one other process.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Time that a probe's acknowledgement may take before others are asked to probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which a member is suspected before it counts as down.
 const SUSPECT_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Times that each process passes on an update. More would fill the frames for minutes after a start of all processes; who
-/// misses an update fetches it.
+/// Times that each process gossips an update. With more, updates would fill the frames for minutes after all processes have
+/// started. A process that misses an update fetches it by anti-entropy.
 const TRANSMISSIONS: u8 = 5;
 /// Time for which a member that is down is remembered, so that an old update does not bring it back.
 const REMEMBER_DOWN: Duration = Duration::from_secs(60);
@@ -51,17 +51,17 @@
 /// Mean interval at which a process that knows members, but not all replicas, announces itself to an unknown replica.
 const ANNOUNCE_UNKNOWN_INTERVAL: Micros = Micros::from_millis(10_000);
 
-/// The part of a process in the fleet.
+/// The role of a process in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// It takes requests.
+    /// The process serves requests.
     Node,
-    /// It replicates the lease ledger.
+    /// The process replicates the lease ledger.
     Replica,
 }
 
 impl Role {
-    /// Returns the word that the control address and log lines use for the role.
+    /// Returns the role's name on the control address and in log lines.
     #[must_use]
     pub fn control_name(self) -> &'static str {
         match self {
@@ -74,22 +74,22 @@
 /// One process, as it describes itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the process.
     pub name: String,
     /// The time of its start, µs of Unix time, plus one for each refutation.
     pub incarnation: u64,
-    /// Where it receives datagrams.
+    /// Address at which the process receives datagrams.
     pub addr: SocketAddr,
-    /// Its part in the fleet.
+    /// Role of the process in the fleet.
     pub role: Role,
-    /// Its zone; may be empty.
+    /// Zone of the process; may be empty.
     pub zone: String,
-    /// Its region; may be empty.
+    /// Region of the process; may be empty.
     pub region: String,
 }
 
 impl Member {
-    /// Returns a replica that is known by its configured address only.
+    /// Returns a replica of which only the configured name and address are known.
     #[must_use]
     pub fn seed(name: &str, addr: SocketAddr) -> Member {
         let (zone, region) = (String::new(), String::new());
@@ -98,7 +98,7 @@
 }
 
 impl Identity for Member {
-    /// The name by its hash: it is compared with those of all members for each update.
+    /// The address and the hash of the name, as it is compared with those of all members for each update.
     type Addr = (SocketAddr, u64);
 
     fn renew(&self) -> Option<Member> {
@@ -121,40 +121,40 @@
     Up(Member),
     /// A member counts as down.
     Down(Member),
-    /// Others had counted this process as down, and it has refuted that.
+    /// Other members had counted this process as down, and it has refuted that.
     Refuted,
 }
 
-/// What the caller is to do.
+/// An action that the caller is to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
     /// Send these bytes to that member.
     Send(Member, Vec<u8>),
-    /// Report a change.
+    /// Report a change of the membership.
     Notify(MembershipChange),
 }
 
 /// The members, as this process knows them.
 pub struct Members {
     foca: Foca<Member, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
-    /// Timers by time and a serial number.
+    /// Timers of `foca` by due time and a serial number.
     timers: BTreeMap<(LeaseInstant, u64), Timer<Member>>,
     last_timer: u64,
     runtime: AccumulatingRuntime<Member>,
     /// The fleet's replicas, whose addresses are configured.
     replicas: Vec<Member>,
-    /// When this process checks next whether it knows the replicas.
+    /// When this process next checks whether it knows all replicas.
     next_replica_check: LeaseInstant,
     repair: RepairSchedule,
     rng: ChaCha8Rng,
     has_left: bool,
-    /// Messages that could not be decoded, or came when the table was full.
+    /// Messages that could not be decoded or handled, or arrived when the table was full.
     pub dropped: u64,
 }
 
 fn foca_config() -> foca::Config {
     let one = NonZeroUsize::MIN;
-    let every = |ms| Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members: one });
+    let periodic = |ms| Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members: one });
     foca::Config {
         probe_period: PROBE_INTERVAL,
         probe_rtt: PROBE_TIMEOUT,
@@ -164,9 +164,9 @@
         remove_down_after: Some(REMEMBER_DOWN),
         max_packet_size: NonZeroUsize::new(MESSAGE_MAX).unwrap_or(one),
         notify_down_members: true,
-        periodic_announce: every(ANNOUNCE_INTERVAL_MS),
-        periodic_announce_to_down_members: every(ANNOUNCE_TO_DOWN_INTERVAL_MS),
-        periodic_gossip: every(GOSSIP_INTERVAL_MS),
+        periodic_announce: periodic(ANNOUNCE_INTERVAL_MS),
+        periodic_announce_to_down_members: periodic(ANNOUNCE_TO_DOWN_INTERVAL_MS),
+        periodic_gossip: periodic(GOSSIP_INTERVAL_MS),
     }
 }
 
@@ -189,8 +189,8 @@
         }
     }
 
-    /// Sets the fleet's replicas: this process announces itself to those that it does not know. Its own name among them is
-    /// left out.
+    /// Sets the fleet's replicas, except the one with this process's name. This process announces itself to those that it
+    /// does not know.
     #[must_use]
     pub fn with_replicas(mut self, replicas: impl IntoIterator<Item = Member>) -> Members {
         let others = replicas.into_iter().filter(|replica| replica.name != self.local_member().name);
@@ -243,7 +243,7 @@
         if self.has_left { timer } else { Some(timer.map_or(own, |at| at.min(own))) }
     }
 
-    /// Does what is due at `now`.
+    /// Runs the timers that are due at `now`, and sends the announcement and the list digest where they are due.
     pub fn run_due_timers(&mut self, now: LeaseInstant, actions: &mut Vec<MembershipAction>) {
         while let Some(due) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
             let timer = due.remove();
@@ -265,8 +265,9 @@
         }
     }
 
-    /// Announces this process to a replica that it does not know. A process without a replica of another region may have lost
-    /// that region and be forgotten there: one side has to speak first, and the replicas' addresses are known to all.
+    /// Announces this process to a replica that it does not know. A process that knows no replica of another region may be
+    /// partitioned from that region, and members there may have removed it. One side has to send first, and all processes
+    /// know the replicas' addresses.
     fn check_replicas(&mut self, now: LeaseInstant, actions: &mut Vec<MembershipAction>) {
         let is_alone = self.foca.num_members() == 0;
         let is_unknown =
@@ -283,7 +284,7 @@
         }
     }
 
-    /// All members that are up, including this process.
+    /// Returns all members that are up, including this process.
     fn members_up(&self) -> impl Iterator<Item = &Member> {
         std::iter::once(self.local_member()).chain(self.peers())
     }
@@ -293,7 +294,8 @@
         actions.extend(envelope.encode().map(|bytes| MembershipAction::Send(to, bytes)));
     }
 
-    /// Sends a response, if the bytes per second allow it; `reply_bytes` come back for it.
+    /// Sends a response where the limit on bytes per second allows it. `reply_bytes` is the most that the receiver sends
+    /// back; it counts against the limit too.
     fn respond_repair(
         &mut self,
         now: LeaseInstant,
@@ -354,7 +356,7 @@
         }
     }
 
-    /// Takes in members that another process has sent.
+    /// Adds or updates the members that another process has sent.
     fn learn_members(
         &mut self,
         now: LeaseInstant,
@@ -369,7 +371,7 @@
             }
             KnownMember::Down(member) => foca::Member::down(member),
         });
-        // Not gossiped: a process that lacks them fetches them too.
+        // The updates are not gossiped: a process that lacks them fetches them by anti-entropy.
         if self.foca.apply_many(updates, false, &mut self.runtime).is_err() {
             self.dropped += 1;
         }
@@ -379,7 +381,7 @@
         }
     }
 
-    /// Leaves the fleet and tells the others.
+    /// Leaves the fleet and notifies other members.
     pub fn leave(&mut self, now: LeaseInstant, actions: &mut Vec<MembershipAction>) {
         self.has_left = true;
         let _ = self.foca.leave_cluster(&mut self.runtime);
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -47,7 +47,7 @@
 pub struct LeaseHolderId {
     /// The node's name, at most [`NAME_MAX`] bytes.
     pub name: String,
-    /// Drawn at the process's start.
+    /// Random number drawn at the process's start.
     pub incarnation: u64,
 }
 
@@ -57,34 +57,34 @@
     }
 }
 
-/// Longest name of a node, replica, zone or budget, bytes: a request for all budgets fits a datagram then.
+/// Longest name of a node, replica, zone or budget, bytes. It keeps a request for all budgets within a datagram.
 pub const NAME_MAX: usize = 32;
-/// Most budgets of a fleet, for the same reason.
+/// Most budgets of a fleet: a request for all of them fits a datagram.
 pub const BUDGETS_MAX: usize = 24;
 
 /// What a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetKind {
-    /// Concurrent calls downstream. A call whose end is not known counts for `max_duration` from its permit on.
+    /// Concurrent calls downstream. A call whose end is unknown counts for `max_duration` after its permit was granted.
     Slots {
-        /// The longest that a call runs downstream, from its permit on.
+        /// Longest time from a permit until its call has ended downstream.
         max_duration: Micros,
     },
     /// Calls started within a sliding window.
     Starts {
-        /// The window.
+        /// Length of the window.
         window: Micros,
     },
 }
 
-/// The bounds that the invariant rests on, the same for all processes of a fleet.
+/// Timing bounds that the capacity invariant depends on; all processes of a fleet have the same.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseBounds {
     /// A lease expires this long after the request that renewed it was sent.
     pub lease_duration: Micros,
-    /// The most by which the speeds of two clocks differ, as a fraction: 0.01 is 1%.
+    /// Largest difference between the speeds of two clocks, as a fraction: 0.01 is 1%.
     pub drift: f64,
-    /// The longest from a permit until the service downstream has begun to count the call.
+    /// Longest time from a permit until the service downstream counts the call.
     pub transit: Micros,
 }
 
@@ -108,7 +108,7 @@
 /// One budget, as configured for every process of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// Its name, at most [`NAME_MAX`] bytes.
+    /// Name of the budget, at most [`NAME_MAX`] bytes.
     pub name: String,
     /// What it limits.
     pub kind: BudgetKind,
@@ -135,16 +135,17 @@
 /// What a budget's capacity depends on, beside its configured value.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CapacityScope {
-    /// Nothing.
+    /// The capacity is the configured value.
     #[default]
     Fixed,
-    /// All zones together: zones that are out of service, or partly, reduce it.
+    /// All zones together: each zone that is wholly or partly out of service reduces it.
     Zones,
-    /// This zone alone: it is granted while the zone is probed, and while it returns in proportion to its weight.
+    /// This zone alone: a few units while the zone is probed, a part in proportion to its weight while it returns, and
+    /// none otherwise.
     Zone(String),
 }
 
-/// Concurrent calls, over all nodes, that probe a zone.
+/// Most concurrent calls, over all nodes, to a zone that is being probed.
 const PROBE_CALLS: u32 = 2;
 
 impl CapacityScope {
@@ -153,7 +154,7 @@
     pub fn effective_capacity(&self, capacity: u32, zones: &ZoneStatusMap) -> u32 {
         match self {
             CapacityScope::Fixed => capacity,
-            // 3 x 80 units are 160 with one zone out of service: the addend keeps rounding from losing one.
+            // The addend corrects rounding: 240 units with one of three zones out of service are 160, not 159.
             CapacityScope::Zones => (f64::from(capacity) * zones.share_in_use() + 1e-6) as u32,
             CapacityScope::Zone(zone) => match zones.get(zone).map(|status| (status.state, status.weight)) {
                 Some((ZoneState::Probing, _)) => PROBE_CALLS.min(capacity),
--- a/src/fleet/replica_state.rs
+++ b/src/fleet/replica_state.rs
@@ -14,14 +14,15 @@
 use crate::fleet::lease::renewals::RenewalTracker;
 use crate::fleet::{Budget, LeaseBounds, LeaseHolderId, LeaseInstant};
 
-/// Expired leases in one entry, which keeps the entry small; further ones are found by the next search.
+/// Most expired leases in one entry, which keeps the entry small. The next search finds the others.
 const EXPIRED_PER_ENTRY_MAX: usize = 512;
 
-/// Versions of the configuration that a replica retains, to go back to and to send nodes the changes since.
+/// Versions of the configuration that a replica retains, for rollbacks and for sending nodes the changes since their
+/// version.
 pub const CONFIG_RETENTION: RetentionPolicy = RetentionPolicy { changes: 256, bytes: 4 << 20 };
 
-/// The outcome of a change or of a rollout decision: the version that it made or was about, or the reason for which all
-/// replicas alike rejected it.
+/// The outcome of a change or of a rollout decision: the version that it created or decided on, or the reason why it was
+/// rejected. All replicas have the same outcome.
 pub type ApplyOutcome = Result<Revision, String>;
 
 /// The replicated state of one replica.
@@ -34,7 +35,7 @@
     renewals: HashMap<String, RenewalTracker>,
     /// Versions of the configuration.
     history: History,
-    /// Bytes of changes in the log since a snapshot was last due.
+    /// Bytes of changes applied since a snapshot was last due.
     change_bytes: usize,
 }
 
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Applies a committed change. Every replica has the same version before it, and so accepts or rejects it alike.
+    /// Applies a committed change. Every replica has the same version before it, so all accept it or all reject it.
     fn apply_change(&mut self, compressed: &CompressedChange) -> ApplyOutcome {
         self.change_bytes = self.change_bytes.saturating_add(compressed.len());
         let change = compressed.decompress().map_err(|error| error.to_string())?;
@@ -89,8 +90,8 @@
         Ok(summary.revision)
     }
 
-    /// Returns whether more than `bytes_max` bytes of changes have gone into the log since this last returned true. A
-    /// snapshot is due then: the engine counts entries only, and changes are large.
+    /// Returns whether more than `bytes_max` bytes of changes have been applied since this last returned true. The caller
+    /// then takes a snapshot: the consensus engine counts entries only, and changes are large.
     pub fn take_snapshot_due(&mut self, bytes_max: usize) -> bool {
         let is_due = self.change_bytes > bytes_max;
         if is_due {
@@ -145,7 +146,7 @@
         responses
     }
 
-    /// Records when the last request of a lease was applied; forgets a lease that does not exist any more.
+    /// Records when the last request of a lease was applied, or removes a lease that does not exist any more.
     fn record_renewal(&mut self, now: LeaseInstant, budget: &str, holder: &LeaseHolderId) {
         let Some(lease) = self.ledger.lease(budget, holder) else {
             if let Some(renewals) = self.renewals.get_mut(budget) {
@@ -174,15 +175,15 @@
         (configured != agreed).then_some(LedgerEntry::Capacities(configured))
     }
 
-    /// Returns the entry that removes leases which have expired, together with all permits drawn from them; of more than
-    /// `EXPIRED_PER_ENTRY_MAX` the oldest of a budget.
+    /// Returns the entry that removes leases which have expired together with all permits drawn from them. It has at most
+    /// `EXPIRED_PER_ENTRY_MAX` leases, of each budget the oldest first.
     #[must_use]
     pub fn expired_leases(&self, now: LeaseInstant) -> Option<LedgerEntry> {
         let lifetimes = self.budgets.iter().map(|budget| self.bounds.permit_lifetime(budget.kind));
         let longest_lifetime = lifetimes.max().unwrap_or_default();
         let mut expired = Vec::new();
         for (name, renewals) in &self.renewals {
-            // The permit lifetime of a budget that is not configured any more is not known here.
+            // The permit lifetime of a budget that is not configured any more is unknown: use the longest.
             let budget = self.budgets.iter().find(|budget| budget.name == *name);
             let permit_lifetime =
                 budget.map_or(longest_lifetime, |budget| self.bounds.permit_lifetime(budget.kind));
--- a/src/fleet/version_status.rs
+++ b/src/fleet/version_status.rs
@@ -1,8 +1,8 @@
-//! Which node has which version of the configuration in force, as a replica receives it.
+//! The version of the configuration that each node has in force, from the reports that a replica receives.
 //!
-//! Invariant: the table has at most [`NODES_MAX`] processes. A node behind the version that all may have is reported until it
-//! has it or has been silent for [`FORGET_AFTER`]; a process that a later one of its name has replaced is not counted for
-//! longer than [`SILENT_AFTER`]. No I/O; the caller passes the time.
+//! Invariant: the table has at most [`NODES_MAX`] processes. A node behind the version released to all nodes is reported
+//! until it has that version or has been silent for [`FORGET_AFTER`]. A process that a later one of its name has replaced is
+//! not counted for longer than [`SILENT_AFTER`]. No I/O; the caller passes the time.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,17 @@
 use crate::fleet::{LeaseHolderId, LeaseInstant, NAME_MAX};
 use crate::interface::Micros;
 
-/// Processes in the table; several times the largest fleet.
+/// Most processes in the table: several times the largest fleet.
 pub const NODES_MAX: usize = 16_384;
 /// A node is silent after this long without a report; it reports with each of its lease requests.
 pub const SILENT_AFTER: Micros = Micros::from_millis(5_000);
-/// A node is removed after this long without a report: it has been taken out of service.
+/// A node is removed after this long without a report, as it has been taken out of service.
 pub const FORGET_AFTER: Micros = Micros::from_millis(600_000);
-/// Longest reason, bytes: it goes in a datagram.
+/// Longest reason for which a node refused a version, bytes, so that a report fits a datagram.
 pub const REASON_MAX: usize = 240;
-/// Nodes that a report names.
+/// Most nodes that a rollout status names.
 pub const REPORTED_NODES_MAX: usize = 24;
-/// Versions that a report counts.
+/// Most versions for which a rollout status counts the nodes.
 pub const REPORTED_VERSIONS_MAX: usize = 16;
 
 /// A node's report of its version.
@@ -30,7 +30,7 @@
 pub struct VersionStatus {
     /// The process.
     pub holder: LeaseHolderId,
-    /// The version in force; 0 is the node's own file alone.
+    /// The version in force; 0 is the node's own file without any replicated version.
     pub revision: Revision,
     /// The first 64 bits of its digest.
     pub digest: u64,
@@ -58,7 +58,7 @@
 /// A node that lags behind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LaggingNode {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
     /// The version in force.
     pub revision: Revision,
@@ -74,17 +74,17 @@
 pub struct RolloutStatus {
     /// The newest version.
     pub newest: Revision,
-    /// Time since this replica applied it, ms; none where the replica started with it.
+    /// Time since this replica applied the newest version, ms; `None` where the replica started with it.
     pub agreed_ms: Option<u64>,
     /// How many nodes have which version in force, the newest first; at most [`REPORTED_VERSIONS_MAX`] versions.
     pub counts: Vec<(Revision, u32)>,
-    /// Nodes without the version that all may have, or that could not put a later one in force; those furthest behind first,
-    /// at most [`REPORTED_NODES_MAX`].
+    /// Nodes without the released version, or that could not put a later one in force; those furthest behind first, at most
+    /// [`REPORTED_NODES_MAX`].
     #[serde(rename = "laggards")]
     pub lagging_nodes: Vec<LaggingNode>,
-    /// How many such nodes there are.
+    /// Number of lagging nodes, including those that `lagging_nodes` omits.
     pub lagging: u32,
-    /// The newest version that all nodes may have.
+    /// The newest version released to all nodes.
     #[serde(rename = "good")]
     pub released: Revision,
     /// Nodes that have the released version and wait for the canary rollout of a later one.
@@ -92,7 +92,7 @@
     /// Nodes that get the newest version first.
     #[serde(rename = "first")]
     pub canary_nodes: Vec<String>,
-    /// The version whose rollout was halted, and why, until a later one is released.
+    /// The version whose rollout was halted, with the reason; `None` once a later version is released.
     #[serde(rename = "stopped")]
     pub halted: Option<RolloutHalted>,
     /// From the newest version's agreement until the last report of a node that reached it, ms.
@@ -106,12 +106,12 @@
 struct NodeRow {
     status: VersionStatus,
     last_seen: LeaseInstant,
-    /// When it first reported the newest version.
+    /// When the node first reported the newest version.
     reached_at: Option<LeaseInstant>,
 }
 
 impl NodeRow {
-    /// It is behind the version that all may have, or could not put a later one in force.
+    /// Returns whether the node is behind the released version, or could not put a later one in force.
     fn is_lagging(&self, released: Revision) -> bool {
         let in_force = self.status.revision;
         let has_refused = self.status.refused.as_ref().is_some_and(|(version, _)| *version > in_force);
@@ -138,7 +138,7 @@
 }
 
 impl VersionStatusTable {
-    /// Sets the newest version. `is_new` where it has just been agreed, and was not loaded from disk.
+    /// Sets the newest version. `is_new` is true where it has just been agreed, false where it was loaded from disk.
     pub fn set_newest(&mut self, now: LeaseInstant, (revision, digest): (Revision, u64), is_new: bool) {
         if revision == self.newest {
             return;
@@ -154,7 +154,7 @@
         }
         let newest = self.newest;
         if let Some(row) = self.rows.get_mut(&status.holder) {
-            // Datagrams overtake each other; no process goes back to an earlier version.
+            // Datagrams may arrive out of order, and no process goes back to an earlier version.
             if status.revision >= row.status.revision {
                 row.status = status;
             }
@@ -175,7 +175,7 @@
         self.rows.retain(|_, row| now - row.last_seen < FORGET_AFTER);
     }
 
-    /// The rows that count: of the processes of a name the latest, and each other one that still reports.
+    /// Returns the rows that count: the latest process of each name, and each other process that still reports.
     fn counted_rows(&self, now: LeaseInstant) -> Vec<&NodeRow> {
         let mut latest: BTreeMap<&str, u64> = BTreeMap::new();
         for holder in self.rows.keys() {
@@ -190,7 +190,7 @@
             .collect()
     }
 
-    /// Returns the state of the rollout, where all nodes may have the version `released`.
+    /// Returns the state of the rollout; `released` is the newest version released to all nodes.
     pub fn report(&mut self, now: LeaseInstant, released: Revision) -> RolloutStatus {
         self.remove_forgotten(now);
         let newest = self.newest;
