--- a/src/zone/health_evaluator.rs
+++ b/src/zone/health_evaluator.rs
@@ -1,8 +1,8 @@
 //! Decides for the whole fleet which zones fail, which are isolated, and how much of a returning zone is used.
 //!
-//! Reports arrive one node at a time and are kept as counts. What has been decided is the agreed [`ZoneStatusMap`]; this
-//! module remembers only how long each status has been in force. A replica that becomes leader starts that time anew, so
-//! a zone is left or returned to later than otherwise, never sooner. Nothing is agreed or sent here.
+//! Reports arrive one node at a time and are kept as counts. The decisions are in the agreed [`ZoneStatusMap`]; this module
+//! keeps only how long each status has been in force. A replica that becomes leader starts that time anew, so a zone is
+//! taken out or returned later than otherwise, never sooner. Other modules agree on the statuses and send them.
 
 mod observations;
 mod transition;
@@ -21,17 +21,17 @@
     pub zones: Vec<String>,
     /// Largest share of the zones that may be out at a time, 0 to under 1.
     pub max_out_share: f64,
-    /// How long a zone is out after its first failure.
+    /// Time for which a zone is out after its first failure.
     pub first_out_duration: Micros,
-    /// How long a zone is out at the most, after many failures in a row.
+    /// Longest time for which a zone is out, after many consecutive failures.
     pub max_out_duration: Micros,
     /// Time between two steps of a return.
     pub return_step: Micros,
-    /// For drills: a zone takes its full weight as soon as its time out has passed.
+    /// For drills: a zone returns at full weight as soon as its time out has passed, without probes.
     pub returns_at_full_weight: bool,
 }
 
-/// Why a zone's state or weight changes, for the log.
+/// The evidence for a change of a zone's state or weight, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransitionReason {
     /// Name of the zone.
@@ -40,22 +40,22 @@
     pub from: (ZoneState, u16),
     /// State and weight after.
     pub to: (ZoneState, u16),
-    /// Nodes outside the zone that see it fail, and that see it well.
+    /// Number of nodes outside the zone for which it fails, and number for which it is healthy.
     pub node_votes: (u32, u32),
-    /// Recent calls to the zone, and how many of them failed.
+    /// Number of recent calls to the zone, and number of them that failed.
     pub call_counts: (u32, u32),
     /// Speed relative to the other zones, 1 for as fast, 0 where unknown.
     pub speed: f64,
 }
 
-/// How long a zone has been as it is, by this process's clock.
+/// Times since a zone's last changes, by this process's clock.
 #[derive(Clone, Debug, Default)]
 struct ZoneTimers {
-    /// The status in force, and since when.
+    /// The status in force, and the time since which it has been.
     status: Option<(ZoneStatus, Micros)>,
-    /// Since when it has seemed to fail.
+    /// Start of the present period in which the zone has been failing by the reports.
     failing_since: Option<Micros>,
-    /// When it last seemed to fail.
+    /// When the zone was last failing by the reports.
     last_failing: Option<Micros>,
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl ZoneHealthEvaluator {
-    /// An evaluator without any report yet.
+    /// Returns an evaluator without any report yet.
     #[must_use]
     pub fn new(settings: EvaluatorSettings) -> ZoneHealthEvaluator {
         let zone_count = settings.zones.len();
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     #[must_use]
     pub fn settings(&self) -> &EvaluatorSettings {
         &self.settings
@@ -89,7 +89,7 @@
         self.settings.zones.iter().position(|name| name == zone)
     }
 
-    /// Takes a node's report. The latest of each node name counts; a restarted node replaces its former report.
+    /// Records a node's report. Only the latest report of each node name counts, also after a restart of the node.
     pub fn record_report(&mut self, now: Micros, node: &str, zone: &str, report: &[ZoneHealthReport]) {
         let mut by_zone = vec![CallTotals::default(); self.settings.zones.len()];
         for seen in report.iter().take(MAX_ZONES) {
@@ -103,7 +103,7 @@
         self.observations.record(now, node, own_zone, by_zone);
     }
 
-    /// The change to be agreed now with its reasons; `None` where all zones stay as they are.
+    /// Returns the update that the replicas are to agree on now, with its reasons; `None` where no status changes.
     pub fn evaluate(
         &mut self,
         now: Micros,
@@ -137,22 +137,28 @@
         }
     }
 
-    /// Moves each zone to its next status. The failing zones come first, as they are given, so that the worst of them have
-    /// the room under the limit on zones that are out.
+    /// Moves each zone to its next status. The failing zones come first, in the given order, so that the limit on zones that
+    /// are out applies to the least affected of them.
     fn advance_statuses(&self, now: Micros, statuses: &mut [ZoneStatus], failing: &[usize]) {
         let mut out = statuses.iter().filter(|status| !status.is_in_use()).count();
         let max_out = (self.settings.max_out_share * statuses.len() as f64 + 1e-9) as usize;
         let others = (0..statuses.len()).filter(|zone| !failing.contains(zone));
         for zone in failing.iter().copied().chain(others) {
-            let may_leave = out < max_out && out + 1 < statuses.len();
-            let seen = self.observe(now, zone, statuses, may_leave);
+            let may_be_taken_out = out < max_out && out + 1 < statuses.len();
+            let seen = self.observe(now, zone, statuses, may_be_taken_out);
             let next = next_status(now, &self.settings, &statuses[zone], &seen);
             out += usize::from(statuses[zone].is_in_use() && !next.is_in_use());
             statuses[zone] = next;
         }
     }
 
-    fn observe(&self, now: Micros, zone: usize, statuses: &[ZoneStatus], may_leave: bool) -> ZoneObservation {
+    fn observe(
+        &self,
+        now: Micros,
+        zone: usize,
+        statuses: &[ZoneStatus],
+        may_be_taken_out: bool,
+    ) -> ZoneObservation {
         let timers = &self.timers[zone];
         let totals = self.observations.totals(zone);
         let votes = self.observations.outside_votes(zone);
@@ -165,7 +171,7 @@
             failure_rate: totals.failure_rate(),
             majority_sees_failing: votes.failing >= votes.healthy,
             speed: self.observations.relative_speed(zone, statuses).unwrap_or(0.0),
-            may_leave,
+            may_be_taken_out,
         }
     }
 
--- a/src/zone/health_evaluator/observations.rs
+++ b/src/zone/health_evaluator/observations.rs
@@ -1,4 +1,4 @@
-//! What the nodes have reported of the zones lately, kept as counts.
+//! Counts over the nodes' recent reports on the zones.
 //!
 //! Each node's latest report counts until it is [`REPORT_VALIDITY`] old. The counts always equal the sum over the reports
 //! in force, so a report costs a few additions however large the fleet is.
@@ -11,20 +11,20 @@
     CallTotals, SampleSize, ZoneHealth, compare_zones, median, sees_most_zones_fail,
 };
 
-/// Share of the nodes with an opinion that must see a zone fail.
-const AGREEMENT: f64 = 0.6;
-/// The same where all nodes of the zone itself have gone silent.
-const AGREEMENT_IF_SILENT: f64 = 0.5;
-/// Fewest nodes that must see a zone fail: one node with a faulty link decides nothing.
-const MIN_WITNESSES: u32 = 2;
-/// How long a report counts; four are due in that time.
+/// Share of the nodes with a vote on a zone that must vote that it fails.
+const FAILING_VOTE_SHARE: f64 = 0.6;
+/// The same share where all nodes of the zone itself have stopped reporting.
+const FAILING_VOTE_SHARE_IF_SILENT: f64 = 0.5;
+/// Fewest nodes that must vote that a zone fails, so that one node with a faulty link decides nothing.
+const MIN_FAILING_VOTES: u32 = 2;
+/// Time for which a report counts; a node sends four in that time.
 const REPORT_VALIDITY: Micros = Micros::from_millis(1_100);
-/// How long a zone whose nodes have all stopped reporting counts as silent.
+/// Time for which a zone counts as silent after all its nodes have stopped reporting.
 const SILENCE_MEMORY: Micros = Micros::from_millis(30_000);
-/// Nodes whose reports are kept: several times the largest fleet.
+/// Most nodes whose reports are kept: several times the largest fleet.
 const MAX_NODES: usize = 16_384;
 
-/// Votes of nodes on one zone.
+/// Numbers of nodes that vote that one zone fails, and that it is healthy.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Votes {
     pub failing: u32,
@@ -32,7 +32,7 @@
 }
 
 impl Votes {
-    /// Whether at least `share` of the votes, and one at the least, say that the zone fails.
+    /// Returns whether at least `share` of the votes, and at least one vote, are that the zone fails.
     fn agree_on_failing(self, share: f64) -> bool {
         self.failing > 0 && f64::from(self.failing) >= share * f64::from(self.failing + self.healthy) - 1e-9
     }
@@ -43,36 +43,36 @@
 struct NodeReport {
     own_zone: Option<usize>,
     received_at: Micros,
-    /// Zones that it sees fail, a bit each, however few its calls.
+    /// Bit set of the zones that fail in the node's calls, however few these are.
     failing_zones: u32,
-    /// Zones that it sees well, a bit each.
+    /// Bit set of the zones that are healthy in the node's calls.
     healthy_zones: u32,
     by_zone: Vec<CallTotals>,
-    /// It sees most zones fail: its calls are left out of the fleet's totals.
+    /// Most zones fail in the node's calls, so these are left out of the fleet's totals.
     sees_most_fail: bool,
 }
 
-/// Counts over the reports in force. Zones are indices in the order of the settings.
+/// Counts over the reports in force. Zones are given by their index in the settings.
 #[derive(Clone, Debug)]
 pub(super) struct HealthObservations {
     zone_count: usize,
     nodes: BTreeMap<String, NodeReport>,
     /// Nodes by the time of their latest report.
     by_age: BTreeSet<(Micros, String)>,
-    /// By zone: the last report of a node of it that has since expired.
+    /// By zone: receipt time of the last report by one of its nodes that has since expired.
     silent_since: Vec<Option<Micros>>,
-    /// By zone: nodes of it whose reports are in force.
+    /// By zone: number of its nodes whose reports are in force.
     reporting_nodes: Vec<u32>,
-    /// By the observers' zone, then by the zone observed; observers without a zone have the last row.
+    /// Votes by the observers' zone, then by the observed zone; observers without a zone have the last row.
     votes: Vec<Vec<Votes>>,
-    /// Calls, by the same two.
+    /// Calls by the observers' zone, then by the observed zone, with the same last row.
     observed: Vec<Vec<CallTotals>>,
-    /// Calls of all observers by zone, without those that see most zones fail.
+    /// Calls by zone of all observers except those in whose calls most zones fail.
     totals: Vec<CallTotals>,
 }
 
 impl HealthObservations {
-    /// No report yet, of so many zones.
+    /// Returns observations of `zone_count` zones without any report yet.
     pub(super) fn new(zone_count: usize) -> HealthObservations {
         HealthObservations {
             zone_count,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes a node's report in place of its former one. Beyond [`MAX_NODES`] a new node's report is dropped.
+    /// Records a node's report in place of its former one. Beyond [`MAX_NODES`] a new node's report is dropped.
     pub(super) fn record(
         &mut self,
         now: Micros,
@@ -115,7 +115,7 @@
         self.nodes.insert(node.to_owned(), report);
     }
 
-    /// Drops the reports that no longer count.
+    /// Removes the reports that are older than [`REPORT_VALIDITY`].
     pub(super) fn expire_reports(&mut self, now: Micros) {
         while let Some((received_at, node)) =
             self.by_age.first().filter(|oldest| oldest.0 + REPORT_VALIDITY < now).cloned()
@@ -127,19 +127,20 @@
         }
     }
 
-    /// Calls to a zone, of all observers that do not see most zones fail.
+    /// Returns the calls to a zone of all observers except those in whose calls most zones fail.
     pub(super) fn totals(&self, zone: usize) -> CallTotals {
         self.totals[zone]
     }
 
-    /// Votes of all nodes outside a zone.
+    /// Returns the votes on a zone of all nodes outside it.
     pub(super) fn outside_votes(&self, zone: usize) -> Votes {
         self.outside_votes_without(zone, &[])
     }
 
-    /// The failing zones, the isolated ones first, then by the share of nodes that see them fail.
+    /// Returns the failing zones, the isolated ones first, then by the share of votes that they fail.
     ///
-    /// Once a zone is found to fail, its nodes' reports are left out: they may see the others fail for their own fault.
+    /// Once a zone is found to fail, its nodes' reports are left out: their calls to other zones may fail by the zone's own
+    /// fault.
     pub(super) fn find_failing(&self, now: Micros) -> Vec<usize> {
         let mut failing: Vec<usize> = (0..self.zone_count).filter(|zone| self.is_isolated(*zone)).collect();
         let mut excluded = vec![false; self.zone_count];
@@ -151,27 +152,29 @@
         failing
     }
 
-    /// How fast a zone is: the median mean call time of the other zones in use, over its own. `None` where one of both is
-    /// unknown. The median is used because a zone that is about to be left is no measure.
+    /// Returns the speed of a zone: the median of the mean call times of the other zones in use, divided by its own mean
+    /// call time. `None` where either is unknown. With the median, a zone that is about to be taken out does not distort the
+    /// result.
     pub(super) fn relative_speed(&self, zone: usize, statuses: &[ZoneStatus]) -> Option<f64> {
         let others = (0..statuses.len()).filter(|&other| other != zone && statuses[other].is_in_use());
         let others = others.filter_map(|other| self.totals[other].mean_success_us()).collect();
         Some(median(others)? / self.totals[zone].mean_success_us()?)
     }
 
-    /// The failing zone that the largest share of nodes sees fail, the first of equals; `failing` ones are not looked at
-    /// and the nodes of `excluded` ones not counted.
+    /// Returns the failing zone with the largest share of votes that it fails, the first of equals. The zones in `failing`
+    /// are skipped, and the nodes of the zones in `excluded` are not counted.
     fn find_worst(&self, now: Micros, failing: &[usize], excluded: &[bool]) -> Option<usize> {
         let mut worst: Option<(f64, usize)> = None;
         for zone in (0..self.zone_count).filter(|zone| !failing.contains(zone)) {
             let votes = self.outside_votes_without(zone, excluded);
-            let share_needed = if self.is_silent(now, zone) { AGREEMENT_IF_SILENT } else { AGREEMENT };
+            let share_needed =
+                if self.is_silent(now, zone) { FAILING_VOTE_SHARE_IF_SILENT } else { FAILING_VOTE_SHARE };
             let is_counted = |observer: usize| observer != zone && !is_excluded(excluded, observer);
             let is_failing = || {
                 compare_zones(&self.pool_calls(is_counted), SampleSize::Significant)[zone]
                     == Some(ZoneHealth::Failing)
             };
-            if votes.failing >= MIN_WITNESSES && votes.agree_on_failing(share_needed) && is_failing() {
+            if votes.failing >= MIN_FAILING_VOTES && votes.agree_on_failing(share_needed) && is_failing() {
                 let share = f64::from(votes.failing) / f64::from(votes.failing + votes.healthy);
                 if worst.is_none_or(|worst| share > worst.0) {
                     worst = Some((share, zone));
@@ -181,11 +184,11 @@
         worst.map(|(_, zone)| zone)
     }
 
-    /// Whether a zone's nodes see most other zones fail while the rest of the fleet sees those well.
+    /// Returns whether most other zones fail in the calls of a zone's nodes and are healthy in those of the other nodes.
     fn is_isolated(&self, zone: usize) -> bool {
         let others = || (0..self.zone_count).filter(|other| *other != zone);
-        // A single node of the zone with a faulty link is not the zone.
-        let nodes_agree = |other: &usize| self.votes[zone][*other].agree_on_failing(AGREEMENT);
+        // A faulty link of a single node does not make its zone isolated.
+        let nodes_agree = |other: &usize| self.votes[zone][*other].agree_on_failing(FAILING_VOTE_SHARE);
         if others().filter(nodes_agree).count() < 2 {
             return false;
         }
@@ -200,12 +203,12 @@
         failing > 1 && failing * 2 > known
     }
 
-    /// Whether a zone has lately had reporting nodes and has none now.
+    /// Returns whether a zone has no reporting node now and had one within [`SILENCE_MEMORY`].
     fn is_silent(&self, now: Micros, zone: usize) -> bool {
         self.reporting_nodes[zone] == 0 && self.silent_since[zone].is_some_and(|at| now < at + SILENCE_MEMORY)
     }
 
-    /// Votes of the nodes outside a zone that are not in an excluded zone either.
+    /// Returns the votes on a zone of the nodes that are neither in it nor in an excluded zone.
     fn outside_votes_without(&self, zone: usize, excluded: &[bool]) -> Votes {
         (0..=self.zone_count)
             .filter(|&observer| observer != zone && !is_excluded(excluded, observer))
@@ -216,7 +219,7 @@
             })
     }
 
-    /// Calls by zone of the observers in some zones together.
+    /// Returns the summed calls by zone of the observers in the zones for which `is_counted` is true.
     fn pool_calls(&self, is_counted: impl Fn(usize) -> bool) -> Vec<CallTotals> {
         let mut pooled = vec![CallTotals::default(); self.zone_count];
         for (_, observed) in self.observed.iter().enumerate().filter(|(observer, _)| is_counted(*observer)) {
@@ -236,7 +239,7 @@
         self.update_counts(report, u32::saturating_add, CallTotals::plus);
     }
 
-    /// Applies one report to all counts: both operations add, or both subtract.
+    /// Applies one report to all counts; `count` and `combine` both add, or both subtract.
     fn update_counts(
         &mut self,
         report: &NodeReport,
@@ -259,7 +262,7 @@
     }
 }
 
-/// Whether an observer's zone is excluded; observers without a zone never are.
+/// Returns whether an observer's zone is excluded; observers without a zone never are.
 fn is_excluded(excluded: &[bool], observer: usize) -> bool {
     excluded.get(observer).copied().unwrap_or(false)
 }
--- a/src/zone/health_evaluator/transition.rs
+++ b/src/zone/health_evaluator/transition.rs
@@ -1,65 +1,67 @@
-//! The next state of one zone: from in use over suspect to out, and back by probes and growing weight.
+//! The next state of one zone: from in use to suspect to out, and back through probes and a growing weight.
 //!
-//! Pure functions of the zone's status and of what was observed of it. An operator's order goes before observations.
+//! The functions depend only on the zone's status and the observations of it. An operator's order takes precedence over
+//! observations.
 
 use super::EvaluatorSettings;
 use crate::interface::Micros;
 use crate::zone::{FULL_WEIGHT, ZoneOrder, ZoneState, ZoneStatus};
 
-/// How long a zone must seem to fail before it is left.
+/// Time for which a zone must be failing before it is taken out.
 const CONFIRM_AFTER: Micros = Micros::from_millis(400);
-/// How long a suspect zone must not seem to fail before it counts as well again.
+/// Time without a failing report after which a suspect zone counts as healthy again.
 const CLEAR_AFTER: Micros = Micros::from_millis(1_000);
-/// How long a zone must be in use before its failures in a row are forgotten.
+/// Time for which a zone must be in use before its consecutive failures are reset to 0.
 const FORGET_FAILURES_AFTER: Micros = Micros::from_millis(60_000);
-/// Largest part of a time out that is taken off by zone and failure, so that two zones do not return in step.
+/// Largest part by which a time out is shortened, by zone and failure, so that two zones do not return at the same time.
 const OUT_JITTER: f64 = 0.25;
 /// Successful probes before a return starts.
 const MIN_PROBES: u32 = 3;
-/// Failed probes before a zone is left again: one node with a faulty link must not decide.
+/// Failed probes before a zone is taken out again, so that one node with a faulty link does not decide.
 const MIN_FAILED_PROBES: u32 = 2;
 /// Failure rate at which probes have failed, whatever the nodes' votes.
 const PROBE_FAILURE_RATE: f64 = 0.5;
-/// Failure rate at which a return has failed.
+/// Failure rate at which a return has failed, if the nodes' votes agree.
 const RETURN_FAILURE_RATE: f64 = 0.3;
 /// Failure rate at which a return's weight is halved.
 const STRAIN_FAILURE_RATE: f64 = 0.1;
-/// Fewest calls on which a return is decided.
+/// Fewest calls from which the weight of a return is decided.
 const MIN_RETURN_CALLS: u32 = 8;
-/// First weight of a return.
+/// First weight of a return, in thousandths.
 const FIRST_WEIGHT: u16 = 50;
-/// Largest growth of a weight in a step, as a factor.
+/// Largest growth of a weight per step, as a factor.
 const GROWTH_FACTOR: f64 = 1.5;
-/// The same as a summand, for small weights.
+/// Growth per step, in thousandths, for weights so small that it exceeds the growth by [`GROWTH_FACTOR`].
 const MIN_GROWTH: f64 = 20.0;
 /// A weight is reduced once it exceeds what the observed speed supports by this factor.
 const WEIGHT_TOLERANCE: f64 = 1.25;
-/// Relative speed that counts as full, as healthy zones differ by as much. Below it, the part of the speed that is used,
-/// as observations lag behind.
+/// Relative speed from which a zone counts as fully fast, as the speeds of healthy zones differ by as much. Below it, also
+/// the part of the speed that the weight may reach, as observations lag behind.
 const FULL_SPEED: f64 = 0.9;
 
-/// What was observed of one zone.
+/// The observations of one zone.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ZoneObservation {
-    /// Time in the present status.
+    /// Time since the zone's status last changed.
     pub in_status_for: Micros,
-    /// Since when it has seemed to fail, if it does now.
+    /// Start of the present period of failing; `None` where the zone is not failing now.
     pub failing_since: Option<Micros>,
-    /// When it last seemed to fail.
+    /// When the zone was last failing.
     pub last_failing: Option<Micros>,
     pub calls: u32,
     pub failed: u32,
     pub failure_rate: f64,
-    /// At least as many nodes outside it see it fail as see it well.
+    /// At least as many nodes outside the zone vote that it fails as vote that it is healthy.
     pub majority_sees_failing: bool,
-    /// Relative to the other zones, 1 for as fast; 0 where unknown.
+    /// Speed relative to the other zones, 1 for as fast; 0 where unknown.
     pub speed: f64,
-    /// The limit on zones that are out leaves room for this one.
-    pub may_leave: bool,
+    /// The limit on zones that are out allows this one to be taken out.
+    pub may_be_taken_out: bool,
 }
 
 impl ZoneObservation {
-    /// Whether a return has failed: for most nodes that see it, or for nearly all calls.
+    /// Returns whether a return has failed: by the votes of most nodes and [`RETURN_FAILURE_RATE`], or whatever the votes by
+    /// [`PROBE_FAILURE_RATE`].
     fn has_return_failed(&self) -> bool {
         self.failure_rate >= RETURN_FAILURE_RATE
             && (self.majority_sees_failing || self.failure_rate >= PROBE_FAILURE_RATE)
@@ -74,7 +76,7 @@
     }
 }
 
-/// The status that follows, by an operator's order or else by what was observed.
+/// Returns the zone's next status, by an operator's order or else by the observations.
 pub(super) fn next_status(
     now: Micros,
     settings: &EvaluatorSettings,
@@ -85,12 +87,12 @@
     match next.order {
         Some(ZoneOrder::Leave) => next.set(ZoneState::Out, 0),
         Some(ZoneOrder::Hold) => {}
-        Some(ZoneOrder::Return) | None => advance(now, settings, &mut next, seen),
+        Some(ZoneOrder::Return) | None => advance_state(now, settings, &mut next, seen),
     }
     next
 }
 
-fn advance(now: Micros, settings: &EvaluatorSettings, status: &mut ZoneStatus, seen: &ZoneObservation) {
+fn advance_state(now: Micros, settings: &EvaluatorSettings, status: &mut ZoneStatus, seen: &ZoneObservation) {
     match status.state {
         ZoneState::In if seen.failing_since.is_some() => status.set(ZoneState::Suspect, FULL_WEIGHT),
         ZoneState::In if status.consecutive_failures > 0 && seen.in_status_for >= FORGET_FAILURES_AFTER => {
@@ -106,7 +108,7 @@
             }
         }
         ZoneState::Out => {}
-        ZoneState::Probing if seen.have_probes_failed() => leave(status),
+        ZoneState::Probing if seen.have_probes_failed() => take_out(status),
         ZoneState::Probing
             if seen.successful_calls() >= MIN_PROBES && seen.in_status_for >= settings.return_step =>
         {
@@ -118,8 +120,8 @@
 }
 
 fn advance_suspect(now: Micros, status: &mut ZoneStatus, seen: &ZoneObservation) {
-    if seen.failing_since.is_some_and(|since| since + CONFIRM_AFTER <= now) && seen.may_leave {
-        leave(status);
+    if seen.failing_since.is_some_and(|since| since + CONFIRM_AFTER <= now) && seen.may_be_taken_out {
+        take_out(status);
     } else if seen.last_failing.is_none_or(|last| last + CLEAR_AFTER <= now) {
         status.set(ZoneState::In, FULL_WEIGHT);
     }
@@ -129,13 +131,13 @@
     let has_enough_calls = seen.calls >= MIN_RETURN_CALLS;
     if seen.in_status_for < settings.return_step {
         if has_enough_calls && seen.has_return_failed() {
-            leave(status);
+            take_out(status);
         }
     } else if !has_enough_calls {
-        // Too few calls go there to tell anything; a little more weight does no harm.
+        // There are too few calls to judge the zone by, so a little more weight does little harm.
         status.weight = grow_weight(status.weight, FULL_WEIGHT / 4);
     } else if seen.has_return_failed() {
-        leave(status);
+        take_out(status);
     } else if seen.failure_rate >= STRAIN_FAILURE_RATE {
         status.weight = (status.weight / 2).max(FIRST_WEIGHT / 2);
     } else {
@@ -157,22 +159,23 @@
     }
 }
 
-/// The next weight of a return, up to a limit.
+/// Returns the next weight of a return, up to a limit.
 fn grow_weight(weight: u16, limit: u16) -> u16 {
     let grown = (f64::from(weight) * GROWTH_FACTOR).max(f64::from(weight) + MIN_GROWTH);
     (grown as u16).min(limit).max(weight.min(limit))
 }
 
-fn leave(status: &mut ZoneStatus) {
+fn take_out(status: &mut ZoneStatus) {
     status.set(ZoneState::Out, 0);
     status.consecutive_failures = status.consecutive_failures.saturating_add(1);
 }
 
-/// How long a zone stays out: doubled with each failure in a row up to the limit, less a jitter by zone and failure.
+/// Returns how long a zone stays out: the first time out, doubled with each further consecutive failure up to the limit,
+/// less a jitter by zone and failure.
 fn out_duration(settings: &EvaluatorSettings, status: &ZoneStatus) -> Micros {
     let failures = status.consecutive_failures;
     let doubled = settings.first_out_duration.0.saturating_mul(1 << u32::from(failures.clamp(1, 16) - 1));
     let longest = doubled.min(settings.max_out_duration.0);
-    let drawn = crc32fast::hash(format!("{}/{failures}", status.zone).as_bytes());
-    Micros((longest as f64 * (1.0 - OUT_JITTER * f64::from(drawn) / f64::from(u32::MAX))) as u64)
+    let jitter_hash = crc32fast::hash(format!("{}/{failures}", status.zone).as_bytes());
+    Micros((longest as f64 * (1.0 - OUT_JITTER * f64::from(jitter_hash) / f64::from(u32::MAX))) as u64)
 }
--- a/src/zone/health_report.rs
+++ b/src/zone/health_report.rs
@@ -1,8 +1,8 @@
-//! What one node saw of each zone lately: calls that ended, well or not, and calls that are stuck.
+//! One node's recent calls to each zone: those that succeeded or failed, and those that are stuck.
 //!
-//! A zone that is cut off answers nothing, so a call there fails only once its own time limit has passed, which may be longer
-//! than the fleet should wait. A call that has been pending for several times the usual call time therefore counts as failed
-//! at once, and by its result once it has ended. Nothing is decided here.
+//! A zone that is cut off sends no response, so a call to it fails only once its own time limit has passed, which may be
+//! longer than the fleet should wait. A call that has been pending for several times the usual call time is therefore stuck:
+//! it counts as failed at once, and by its result once it has ended. Other modules decide the status of a zone.
 
 use std::collections::BTreeMap;
 
@@ -12,48 +12,48 @@
 
 /// Length of one interval of the window.
 const INTERVAL: Micros = Micros::from_millis(100);
-/// Intervals in the window; what is older no longer counts.
+/// Number of intervals in the window; older calls no longer count.
 const INTERVALS: usize = 15;
-/// Shortest pending time after which a call is stuck.
+/// Shortest pending time after which a call may count as stuck.
 const MIN_STUCK_AFTER: Micros = Micros::from_millis(300);
-/// The same as a multiple of the median zone's call time.
+/// Multiple of the median zone's mean call time after which a pending call counts as stuck.
 const STUCK_FACTOR: u64 = 6;
 
-/// What a node saw of one zone in the window.
+/// One node's counts of its calls to one zone in the window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneHealthReport {
     /// Name of the zone.
     pub zone: String,
     /// Calls that have ended or are stuck.
     pub calls: u32,
-    /// Those of them that failed, were turned away or are stuck.
+    /// Calls of these that failed, were rejected or are stuck.
     pub failed: u32,
-    /// Mean time of the successful ones, µs; 0 where there are none.
+    /// Returns the mean time of the successful calls, µs; 0 without any.
     pub mean_us: u32,
 }
 
 impl ZoneHealthReport {
-    /// Calls that succeeded.
+    /// Returns the number of calls that succeeded.
     #[must_use]
     pub fn succeeded(&self) -> u32 {
         self.calls.saturating_sub(self.failed)
     }
 
-    /// Share of the calls that failed, 0 to 1.
+    /// Returns the share of the calls that failed, 0 to 1; 0 without any call.
     #[must_use]
     pub fn failure_rate(&self) -> f64 {
         f64::from(self.failed) / f64::from(self.calls.max(1))
     }
 }
 
-/// What a call's end says of the zone that it went to.
+/// The result of a call, as evidence on the zone that it went to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResult {
-    /// It was answered well.
+    /// The call succeeded.
     Success,
-    /// It failed, was turned away or ran out of time.
+    /// The call failed, was rejected or exceeded its time limit.
     Failure,
-    /// It was given up for no fault of the zone, and does not count.
+    /// The call was abandoned for a reason other than the zone, and does not count.
     Ignored,
 }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Mean time of the successful calls, µs; 0 without any.
+    /// Returns the mean time of the successful calls, µs; 0 without any.
     fn mean_us(&self) -> u64 {
         if self.succeeded > 0 { self.success_us / u64::from(self.succeeded) } else { 0 }
     }
@@ -85,7 +85,7 @@
 struct ZoneCalls {
     /// Ended calls by interval, the latest first.
     intervals: [IntervalCounts; INTERVALS],
-    /// Pending calls by when they started; as many as the node's own limits on calls allow.
+    /// Pending calls by their start time; their number is bounded by the node's own limits on calls.
     pending: BTreeMap<Micros, u32>,
 }
 
@@ -94,22 +94,22 @@
         self.intervals.iter().fold(IntervalCounts::default(), IntervalCounts::plus)
     }
 
-    /// Pending calls that started at this time or before.
+    /// Returns the number of pending calls that started at `started_by` or before.
     fn pending_since(&self, started_by: Micros) -> u32 {
         self.pending.range(..=started_by).map(|(_, calls)| *calls).sum()
     }
 }
 
-/// Counts one node's calls by zone. Zones are indices.
+/// Counts one node's calls by zone. Zones are given by index.
 #[derive(Clone, Debug)]
 pub struct ZoneHealthObserver {
     zones: Vec<ZoneCalls>,
-    /// When the latest interval began.
+    /// Start of the latest interval.
     interval_start: Micros,
 }
 
 impl ZoneHealthObserver {
-    /// An observer of so many zones that has seen no call yet.
+    /// Returns an observer of `zone_count` zones without any call yet.
     #[must_use]
     pub fn new(now: Micros, zone_count: usize) -> ZoneHealthObserver {
         ZoneHealthObserver { zones: vec![ZoneCalls::default(); zone_count], interval_start: now }
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The report on each zone, in the order of these names.
+    /// Returns the report on each zone, in the order of `names`.
     pub fn report(&mut self, now: Micros, names: &[String]) -> Vec<ZoneHealthReport> {
         self.advance_window(now);
         let ended: Vec<IntervalCounts> = self.zones.iter().map(ZoneCalls::ended_in_window).collect();
@@ -175,7 +175,8 @@
     }
 }
 
-/// How long a call may be pending before it is stuck: a multiple of the median zone's mean call time, within a bound.
+/// Returns how long a call may be pending before it counts as stuck: [`STUCK_FACTOR`] times the median zone's mean call
+/// time, at least [`MIN_STUCK_AFTER`].
 fn stuck_after(ended: &[IntervalCounts]) -> Micros {
     let mut means_us: Vec<u64> =
         ended.iter().map(IntervalCounts::mean_us).filter(|mean_us| *mean_us > 0).collect();
--- a/src/zone/health_report/tests.rs
+++ b/src/zone/health_report/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn ms(n: u64) -> Micros {
-    Micros::from_millis(n)
+fn ms(millis: u64) -> Micros {
+    Micros::from_millis(millis)
 }
 
 #[test]
@@ -17,19 +17,22 @@
     observer.record_call_end(ms(1_015), 0, ms(1_010), CallResult::Failure);
     observer.record_call_start(ms(1_010), 0);
     observer.record_call_end(ms(1_015), 0, ms(1_010), CallResult::Ignored);
-    let seen = |calls, failed, mean_us| (calls, failed, mean_us);
-    let mut report_at = |t: u64| -> Vec<(u32, u32, u32)> {
+    let mut report_at = |millis: u64| -> Vec<(u32, u32, u32)> {
         observer
-            .report(ms(t), &names)
+            .report(ms(millis), &names)
             .iter()
             .map(|report| (report.calls, report.failed, report.mean_us))
             .collect()
     };
-    assert_eq!(report_at(1_100), [seen(11, 1, 20_000), seen(0, 0, 0)], "those of b may still be well");
-    assert_eq!(report_at(1_305), [seen(11, 1, 20_000), seen(6, 6, 0)], "some are stuck");
-    assert_eq!(report_at(3_000), [seen(0, 0, 0), seen(10, 10, 0)], "the old ones say nothing any more");
+    assert_eq!(report_at(1_100), [(11, 1, 20_000), (0, 0, 0)], "the pending calls to b may still succeed");
+    assert_eq!(report_at(1_305), [(11, 1, 20_000), (6, 6, 0)], "six calls to b are stuck");
+    assert_eq!(
+        report_at(3_000),
+        [(0, 0, 0), (10, 10, 0)],
+        "calls to a that ended before the window do not count"
+    );
     for i in 0..10 {
         observer.record_call_end(ms(3_000), 1, ms(1_000 + i), CallResult::Failure);
     }
-    assert_eq!(observer.report(ms(3_000), &names)[1].failed, 10, "each counts once");
+    assert_eq!(observer.report(ms(3_000), &names)[1].failed, 10, "each call counts once");
 }
--- a/src/zone/mod.rs
+++ b/src/zone/mod.rs
@@ -1,11 +1,11 @@
 //! Zones: which of them the fleet uses, and how much of each. Decisions without I/O; the time is a parameter.
 //!
-//! [`health_report`] holds what one node saw of each zone, [`health_evaluator`] decides from all nodes' reports,
-//! [`ZoneStatusMap`] is what the replicas have agreed, and [`status_cache`] is what each node makes of it.
+//! [`health_report`] counts the calls of one node to each zone, [`health_evaluator`] decides from the reports of all nodes,
+//! [`ZoneStatusMap`] has the statuses that the replicas have agreed on, and [`status_cache`] is each node's copy of them.
 //! `docs/design/zones.md` gives the reasons.
 //!
-//! The epoch of the agreed statuses grows with each change, and no older epoch replaces a newer one. Agreement itself and
-//! the datagrams are elsewhere.
+//! The epoch of the agreed statuses grows with each change, and no older epoch replaces a newer one. Other modules
+//! agree on the statuses and exchange the datagrams.
 
 mod decision;
 pub mod health_evaluator;
@@ -25,16 +25,16 @@
 /// How a zone is used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ZoneState {
-    /// In use as the others.
+    /// In full use.
     #[default]
     In,
-    /// It seems to fail; it is still used.
+    /// In full use, but recent reports show it failing.
     Suspect,
-    /// No new call goes there.
+    /// Out of service: no new call goes to the zone.
     Out,
-    /// A few calls at a time, over all nodes, show how it is.
+    /// Out of service except for a few concurrent calls, over all nodes, that test whether it works again.
     Probing,
-    /// It is used as far as its weight goes.
+    /// In use in proportion to its weight.
     Returning,
 }
 
@@ -50,24 +50,24 @@
     }
 }
 
-/// An operator's order for one zone; it goes before observations.
+/// An operator's order for one zone; it takes precedence over observations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ZoneOrder {
     /// Take the zone out and keep it out.
     Leave,
-    /// Return to the zone by the usual steps; observations count again.
+    /// Return the zone to service by the usual steps and by observations.
     Return,
     /// Keep the zone's present state and weight.
     Hold,
 }
 
-/// Why an order is not carried out.
+/// The reason why an operator's order is not carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ZoneOrderError {
     /// There is no zone of this name.
     #[error("there is no zone \"{0}\"")]
     UnknownZone(String),
-    /// No other zone is in use.
+    /// The zone can't be taken out, as no other zone is in use.
     #[error("\"{0}\" is the last zone in")]
     LastZoneInUse(String),
 }
@@ -77,18 +77,18 @@
 pub struct ZoneStatus {
     /// Name of the zone.
     pub zone: String,
-    /// How it is used.
+    /// State of the zone.
     pub state: ZoneState,
-    /// How much of it is used, in thousandths.
+    /// Share of the zone that is used, in thousandths.
     pub weight: u16,
-    /// Failures in a row; each makes the next time out longer.
+    /// Consecutive failures; each lengthens the next period out of service.
     pub consecutive_failures: u8,
     /// The operator's order in force.
     pub order: Option<ZoneOrder>,
 }
 
 impl ZoneStatus {
-    /// A zone in full use.
+    /// Returns the status of a zone in full use.
     #[must_use]
     pub fn new(zone: &str) -> ZoneStatus {
         ZoneStatus {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Whether calls go there without restriction.
+    /// Returns whether calls go to the zone without restriction.
     #[must_use]
     pub fn is_in_use(&self) -> bool {
         matches!(self.state, ZoneState::In | ZoneState::Suspect)
@@ -111,32 +111,33 @@
     }
 }
 
-/// New statuses of all zones, decided on those of one epoch.
+/// New statuses of all zones, decided from the agreed statuses of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneStatusUpdate {
-    /// The epoch that it was decided on.
+    /// The epoch of the agreed statuses that the update was decided from.
     pub base_epoch: u64,
-    /// The statuses of all zones from then on.
+    /// The new statuses of all zones.
     pub statuses: Vec<ZoneStatus>,
 }
 
 /// The agreed statuses of all zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneStatusMap {
-    /// Changes so far.
+    /// Number of changes so far.
     pub epoch: u64,
-    /// One status a zone.
+    /// One status per zone.
     pub statuses: Vec<ZoneStatus>,
 }
 
 impl ZoneStatusMap {
-    /// The status of a zone; `None` where it has none yet.
+    /// Returns the status of a zone; `None` where it has none yet.
     #[must_use]
     pub fn get(&self, zone: &str) -> Option<&ZoneStatus> {
         self.statuses.iter().find(|status| status.zone == zone)
     }
 
-    /// Applies an update. Returns false and changes nothing where it was decided on another epoch or has too many zones.
+    /// Applies an update. Returns false and changes nothing where it was decided from another epoch or has more
+    /// than [`MAX_ZONES`] zones.
     pub fn apply(&mut self, update: &ZoneStatusUpdate) -> bool {
         if update.base_epoch != self.epoch || update.statuses.len() > MAX_ZONES {
             return false;
@@ -149,7 +150,7 @@
     /// Carries out an operator's order, whatever the epoch.
     ///
     /// # Errors
-    /// There is no such zone, or it is to be left and no other is in use.
+    /// There is no such zone, or it is to be taken out and no other zone is in use.
     pub fn apply_order(&mut self, zone: &str, order: ZoneOrder) -> Result<(), ZoneOrderError> {
         let Some(index) = self.statuses.iter().position(|status| status.zone == zone) else {
             return Err(ZoneOrderError::UnknownZone(zone.to_owned()));
@@ -170,7 +171,7 @@
         Ok(())
     }
 
-    /// Share of all zones together that is in use, 0 to 1; 1 where there are no zones.
+    /// Returns the share of all zones together that is in use, 0 to 1; 1 where there are no zones.
     #[must_use]
     pub fn share_in_use(&self) -> f64 {
         if self.statuses.is_empty() {
--- a/src/zone/status_cache.rs
+++ b/src/zone/status_cache.rs
@@ -1,25 +1,26 @@
-//! One node's copy of the agreed zone statuses: where its calls may go, and whether its own zone is out.
+//! One node's copy of the agreed zone statuses: which zones its calls may go to, and whether its own zone is out.
 //!
-//! An older epoch never replaces a newer one. A node that has received nothing for a while relies on its own observations
-//! alone: it uses all zones again, and only ejection leaves an endpoint out. Sending and receiving are elsewhere.
+//! An older epoch never replaces a newer one. Once a node has received no status for the validity time, it relies on its own
+//! observations: it uses all zones again, and only the ejection of endpoints excludes any. Other modules send and receive
+//! the datagrams.
 
 use super::health_report::{CallResult, ZoneHealthObserver, ZoneHealthReport};
 use super::{FULL_WEIGHT, ZoneState, ZoneStatus, ZoneStatusMap};
 use crate::interface::Micros;
 
-/// Time between a node's reports: the replicas learn of a fault within it.
+/// Time between a node's reports, within which the replicas learn of a fault.
 pub const REPORT_INTERVAL: Micros = Micros::from_millis(250);
-/// Weight of a returning zone from which its nodes take clients again.
+/// Weight of a returning zone from which its nodes accept clients again.
 const MIN_WEIGHT_FOR_CLIENTS: u16 = FULL_WEIGHT / 2;
 
-/// How calls may enter a zone.
+/// The condition under which calls may go to a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneAccess {
-    /// Without restriction by the zone.
+    /// All calls may go to the zone.
     Open,
-    /// Each with a permit from the zone's own budget.
+    /// Each call needs a permit from the zone's own budget.
     Budgeted,
-    /// Not at all.
+    /// No call may go to the zone.
     Closed,
 }
 
@@ -34,25 +35,26 @@
     const FULL: ZoneUse = ZoneUse { state: ZoneState::In, weight: FULL_WEIGHT };
 }
 
-/// The zones as one node knows them, and what it sees of them. Zones are indices in the order of the names.
+/// The zone statuses that one node has received, and its own observations of the zones. Zones are given by their index in
+/// the list of names.
 #[derive(Clone, Debug)]
 pub struct ZoneStatusCache {
     names: Vec<String>,
     own_zone: Option<usize>,
-    /// How long the statuses hold after the last message from a replica.
+    /// Time after the last message from a replica for which the statuses apply.
     validity: Micros,
     statuses: ZoneStatusMap,
-    /// One a name; zones without a status are in full use.
+    /// State and weight per name; zones without a status are in full use.
     uses: Vec<ZoneUse>,
     last_received: Option<Micros>,
     observer: ZoneHealthObserver,
     last_report: Micros,
-    /// Staleness as last given to the caller for its log.
+    /// Staleness as last returned by [`ZoneStatusCache::take_staleness_change`].
     reported_stale: bool,
 }
 
 impl ZoneStatusCache {
-    /// A cache without any status yet; `own` need not be one of the names.
+    /// Returns a cache without any status yet. `own` is the node's zone and need not be one of the names.
     #[must_use]
     pub fn new(now: Micros, names: Vec<String>, own: &str, validity: Micros) -> ZoneStatusCache {
         ZoneStatusCache {
@@ -68,20 +70,20 @@
         }
     }
 
-    /// The index of a zone.
+    /// Returns the index of a zone; `None` where its name is not known.
     #[must_use]
     pub fn zone_index(&self, zone: &str) -> Option<usize> {
         self.names.iter().position(|name| name == zone)
     }
 
-    /// The statuses received last.
+    /// Returns the statuses received last.
     #[must_use]
     pub fn statuses(&self) -> &ZoneStatusMap {
         &self.statuses
     }
 
-    /// Takes the statuses that a replica has sent. Returns each changed zone's status before and after; an epoch older than
-    /// the one known changes nothing and does not renew the validity.
+    /// Applies the statuses that a replica has sent. Returns each changed zone's status before and after; an epoch older
+    /// than the one known changes nothing and does not renew the validity.
     pub fn receive_statuses(
         &mut self,
         now: Micros,
@@ -108,19 +110,19 @@
         changes
     }
 
-    /// Whether no replica has been heard within the validity, or none at all.
+    /// Returns whether no replica has sent a status within the validity time, or ever.
     #[must_use]
     pub fn is_stale(&self, now: Micros) -> bool {
         self.last_received.is_none_or(|at| at + self.validity <= now)
     }
 
-    /// The new staleness, once after each change; a cache that has never received anything reports none.
+    /// Returns the new staleness, once after each change; `None` without a change, or where no status was ever received.
     pub fn take_staleness_change(&mut self, now: Micros) -> Option<bool> {
         let is_stale = self.is_stale(now) && self.last_received.is_some();
         (std::mem::replace(&mut self.reported_stale, is_stale) != is_stale).then_some(is_stale)
     }
 
-    /// How calls may enter a zone, and how much of it is used, in thousandths.
+    /// Returns the access to a zone, and the share of it that is used, in thousandths.
     #[must_use]
     pub fn access(&self, now: Micros, zone: usize) -> (ZoneAccess, u16) {
         if self.is_stale(now) {
@@ -130,12 +132,12 @@
         match zone_use.state {
             ZoneState::In | ZoneState::Suspect => (ZoneAccess::Open, FULL_WEIGHT),
             ZoneState::Out => (ZoneAccess::Closed, 0),
-            // A probe is drawn with the least weight; the zone's budget limits how many there are.
+            // A zone with weight 0 is selected for probes with the least weight; its budget limits their number.
             ZoneState::Probing | ZoneState::Returning => (ZoneAccess::Budgeted, zone_use.weight.max(1)),
         }
     }
 
-    /// Whether this node's own zone is out, so that it should take no clients.
+    /// Returns whether this node's own zone is out, so that the node should accept no clients.
     #[must_use]
     pub fn is_own_zone_out(&self, now: Micros) -> bool {
         if self.is_stale(now) {
@@ -158,13 +160,13 @@
         self.observer.record_call_end(now, zone, started_at, result);
     }
 
-    /// When the next report is due.
+    /// Returns when the next report is due.
     #[must_use]
     pub fn next_report_at(&self) -> Micros {
         self.last_report + REPORT_INTERVAL
     }
 
-    /// The report on all zones; `None` before it is due.
+    /// Returns the report on all zones, in the order of the names; `None` before it is due.
     pub fn take_report(&mut self, now: Micros) -> Option<Vec<ZoneHealthReport>> {
         if now < self.next_report_at() {
             return None;
--- a/src/zone/tests.rs
+++ b/src/zone/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn agreed() -> ZoneStatusMap {
+fn agreed_statuses() -> ZoneStatusMap {
     ZoneStatusMap { epoch: 7, statuses: vec![ZoneStatus::new("a"), ZoneStatus::new("b")] }
 }
 
 #[test]
-fn a_change_for_another_epoch_does_nothing() {
-    let mut statuses = agreed();
+fn an_update_for_another_epoch_changes_nothing() {
+    let mut statuses = agreed_statuses();
     let update = |base_epoch| ZoneStatusUpdate {
         base_epoch,
         statuses: vec![
@@ -17,16 +17,16 @@
     for base_epoch in [0, 6, 8] {
         assert!(!statuses.apply(&update(base_epoch)));
     }
-    assert_eq!(statuses, agreed());
+    assert_eq!(statuses, agreed_statuses());
     assert!(statuses.apply(&update(7)));
     assert_eq!((statuses.epoch, statuses.get("a").map(|a| a.state)), (8, Some(ZoneState::Out)));
-    assert!(!statuses.apply(&update(7)), "a second time");
+    assert!(!statuses.apply(&update(7)), "the update was applied already");
     assert!((statuses.share_in_use() - 0.5).abs() < 1e-9);
 }
 
 #[test]
-fn orders_change_the_zone_or_say_why_not() {
-    let mut statuses = agreed();
+fn orders_change_the_zone_or_return_the_reason() {
+    let mut statuses = agreed_statuses();
     assert_eq!(statuses.apply_order("c", ZoneOrder::Leave), Err(ZoneOrderError::UnknownZone("c".to_owned())));
     assert_eq!(statuses.apply_order("a", ZoneOrder::Leave), Ok(()));
     assert_eq!(
@@ -51,5 +51,5 @@
     );
     assert_eq!(statuses.apply_order("b", ZoneOrder::Return), Ok(()));
     assert_eq!(statuses.get("b"), Some(&ZoneStatus::new("b")));
-    assert_eq!(statuses.epoch, 11, "each that is carried out is news");
+    assert_eq!(statuses.epoch, 11, "each order that is carried out advances the epoch");
 }
