--- a/src/fleet/datagram.rs
+++ b/src/fleet/datagram.rs
@@ -65,9 +65,9 @@
     VersionStatus(VersionStatus),
     /// Replica to node: the newest version of the configuration that the node may have.
     NewestVersion {
-        /// Its number.
+        /// Number of the version.
         revision: Revision,
-        /// Its digest.
+        /// Digest of the version.
         digest: Digest,
     },
 }
--- a/src/fleet/lease/budget.rs
+++ b/src/fleet/lease/budget.rs
@@ -63,7 +63,7 @@
     affects_others: bool,
 }
 
-/// What the targets depend on, beside the leases.
+/// The inputs of the targets other than the leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ShareInputs {
     capacity: u32,
@@ -76,7 +76,7 @@
 struct BudgetTotals {
     /// Sum of all amounts; `None` until it is first needed after the ledger was decoded.
     leased: Option<u64>,
-    /// What the targets were computed from; `None` where a lease has since changed in a way that they depend on.
+    /// The inputs that the targets were computed from; `None` where a lease has since changed in a way that they depend on.
     inputs: Option<ShareInputs>,
     /// Leases below their target by more than rounding.
     below_target: usize,
--- a/src/fleet/lease/budget/golden_tests.rs
+++ b/src/fleet/lease/budget/golden_tests.rs
@@ -19,11 +19,11 @@
     format!(
         "amount {amount}, wanted {demand}, last request {seq}, weight {weight}, last granted by request {last_grant_seq}, \
          holder since entry {created_epoch}, last request in entry {request_epoch}, valid lease {}, leaving {}",
-        yes(*has_valid_lease),
-        yes(*is_leaving)
+        yes_or_no(*has_valid_lease),
+        yes_or_no(*is_leaving)
     )
 }
 
-fn yes(value: bool) -> &'static str {
+fn yes_or_no(value: bool) -> &'static str {
     if value { "yes" } else { "no" }
 }
--- a/src/fleet/lease/fair_share/tests.rs
+++ b/src/fleet/lease/fair_share/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn fair_share_divides_as_in_the_table() {
+fn fair_share_divides_by_demand_weight_and_rotation() {
     type Case = (u32, u32, &'static [u32], u64, &'static [u32]);
     let cases: [Case; 8] = [
         (40, 1, &[100, 100, 100, 100], 0, &[10, 10, 10, 10]),
--- a/src/fleet/lease/ledger.rs
+++ b/src/fleet/lease/ledger.rs
@@ -2,7 +2,7 @@
 //!
 //! All replicas apply the same entries in the same order and reach the same state, so no clock is read here.
 //!
-//! Invariant: an amount grows only in [`LeaseLedger::apply`] on requests, by no more than what is free. It shrinks only by
+//! Invariant: an amount grows only in [`LeaseLedger::apply`] on requests, by no more than the free units. It shrinks only by
 //! what its holder reports as retained once it has seen the last grant, or by an [`LedgerEntry::ExpireLeases`] that no later
 //! request has overtaken. Other modules decide which replica proposes entries, and when.
 
@@ -19,7 +19,7 @@
 /// A process's request for leases or for their renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The process.
+    /// The process that requests.
     pub holder: LeaseHolderId,
     /// Number of the request, from 1.
     pub seq: u64,
@@ -42,7 +42,7 @@
     pub budget: String,
     /// Units that the process uses at the most after this request, until a response changes its limit.
     pub retained: u32,
-    /// Units that it could use.
+    /// Units that the process could use.
     pub demand: u32,
 }
 
@@ -62,7 +62,7 @@
 /// A lease that has expired by a replica's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpiredLease {
-    /// Its holder.
+    /// The holder of the lease.
     pub holder: LeaseHolderId,
     /// Name of the budget.
     pub budget: String,
@@ -75,7 +75,7 @@
 pub enum LedgerEntry {
     /// Sets the capacities of all budgets.
     Capacities(Vec<BudgetCapacity>),
-    /// Renews leases and grants what is free.
+    /// Renews leases and grants free units.
     LeaseRequests(Vec<LeaseRequest>),
     /// Removes expired leases.
     ExpireLeases(Vec<ExpiredLease>),
@@ -102,7 +102,7 @@
     pub holder: LeaseHolderId,
     /// Number of the request.
     pub seq: u64,
-    /// The ledger's entry count.
+    /// The ledger's entry count after the request was applied.
     pub epoch: u64,
     /// The grant of each budget.
     pub grants: Vec<BudgetGrant>,
--- a/src/fleet/lease/ledger/tests/plain.rs
+++ b/src/fleet/lease/ledger/tests/plain.rs
@@ -63,14 +63,14 @@
 
 impl ModelBudget {
     fn leased(&self) -> u64 {
-        self.leases.values().map(|l| u64::from(l.amount)).sum()
+        self.leases.values().map(|lease| u64::from(lease.amount)).sum()
     }
 
     /// Computes the target of each lease, in the leases' order. Processes of one name count as one node; the latest gets the
     /// node's share less the units of the others.
     fn targets(&self, rotation: u64) -> Vec<u32> {
         let all: Vec<(&LeaseHolderId, &Lease)> = self.leases.iter().collect();
-        let needed = |l: &Lease| l.demand.min(l.amount);
+        let needed = |lease: &Lease| lease.demand.min(lease.amount);
         // A node that leaves and has no successor gets no part of the surplus: it keeps what it needs.
         let nodes: Vec<(&[(&LeaseHolderId, &Lease)], bool)> = all
             .chunk_by(|a, b| a.0.name == b.0.name)
--- a/src/fleet/lease/request_batcher.rs
+++ b/src/fleet/lease/request_batcher.rs
@@ -1,4 +1,4 @@
-//! Which lease requests the leading replica puts into the next log entry.
+//! Selects the lease requests that the leading replica puts into the next log entry.
 //!
 //! A request that changes no target goes into the next entry. One that changes other leases' targets makes each replica
 //! recompute all leases of its budgets: such requests are collected into one entry, so that the work per second is bounded
@@ -22,7 +22,7 @@
 /// Requests that are not in an entry yet, each with the address (`A`) that its response goes to.
 #[derive(Debug)]
 pub struct RequestBatcher<A> {
-    /// Requests that cause no recomputation, or have waited.
+    /// Requests that cause no recomputation, and those whose wait is over.
     ready: Vec<(LeaseRequest, A)>,
     /// Requests that cause a recomputation; only the last one of each holder is kept.
     waiting: BTreeMap<LeaseHolderId, (LeaseRequest, A)>,
@@ -43,7 +43,7 @@
 }
 
 impl<A> RequestBatcher<A> {
-    /// Returns whether no request is held.
+    /// Returns whether there is no request to propose, now or later.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.ready.is_empty() && self.waiting.is_empty()
--- a/src/fleet/membership/anti_entropy.rs
+++ b/src/fleet/membership/anti_entropy.rs
@@ -17,7 +17,7 @@
 /// The first bytes of each message. An earlier release reads them as a name that is longer than any datagram: it drops the
 /// message and counts it.
 pub const ANTI_ENTROPY_PREFIX: [u8; 4] = [0xff, 0xff, 0xff, 0x7f];
-/// Partitions of a member list.
+/// Number of partitions of a member list; a member's digest selects its partition.
 const PARTITIONS: u64 = 64;
 /// Most frames of one response.
 const RESPONSE_FRAMES_MAX: usize = 1;
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -33,7 +33,7 @@
 const MESSAGE_MAX: usize = FRAME_MAX - 32;
 /// Interval at which a process probes one other process.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Time that a probe's acknowledgement may take before others are asked to probe.
+/// Time that a probe's acknowledgement may take before other members are asked to probe the same one.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which a member is suspected before it counts as down.
 const SUSPECT_TIMEOUT: Duration = Duration::from_millis(3_000);
@@ -71,12 +71,12 @@
     }
 }
 
-/// One process, as it describes itself.
+/// One process of the fleet, as it announces itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Name of the process.
     pub name: String,
-    /// The time of its start, µs of Unix time, plus one for each refutation.
+    /// Time of the process's start, µs of Unix time, plus one for each refutation.
     pub incarnation: u64,
     /// Address at which the process receives datagrams.
     pub addr: SocketAddr,
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Budgets that all processes of a fleet share, and what the processes agree on for them: leases, zones, configuration.
+//! Budgets that all processes of a fleet share, and the state that the processes agree on: leases, zones, configuration.
 //!
 //! State machines without I/O; the caller passes the time of a clock that also counts while a process is stopped or its
 //! machine sleeps. Invariant: the permits in use over all processes never exceed a budget's capacity, whichever process
@@ -22,7 +22,7 @@
 use crate::interface::Micros;
 use crate::zone::{FULL_WEIGHT, ZoneState, ZoneStatusMap};
 
-/// An instant on a process's own clock, µs from a start that no other process knows. The clock never goes back, counts
+/// An instant on a process's own clock, in µs from an origin that only this process knows. The clock never goes back, counts
 /// while the process is stopped or the machine sleeps, and does not follow the wall clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseInstant(pub u64);
@@ -41,13 +41,13 @@
     }
 }
 
-/// One process of a node. The name is the node's; the incarnation is drawn at the process's start, so that leases of a
-/// former process of the name are never taken for its own.
+/// One process of a node. The name is the node's. The incarnation differs for each process of the node, so that leases of
+/// a former process are never taken for those of a later one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseHolderId {
     /// The node's name, at most [`NAME_MAX`] bytes.
     pub name: String,
-    /// Random number drawn at the process's start.
+    /// Wall-clock time of the process's start, µs of Unix time.
     pub incarnation: u64,
 }
 
@@ -110,7 +110,7 @@
 pub struct Budget {
     /// Name of the budget, at most [`NAME_MAX`] bytes.
     pub name: String,
-    /// What it limits.
+    /// What the budget limits.
     pub kind: BudgetKind,
     /// Units over all nodes.
     pub capacity: u32,
--- a/src/fleet/replica_state.rs
+++ b/src/fleet/replica_state.rs
@@ -31,7 +31,7 @@
     bounds: LeaseBounds,
     budgets: Vec<Budget>,
     ledger: LeaseLedger,
-    /// When the last request of each lease was applied here, by budget.
+    /// By budget, when this replica applied the last request of each lease.
     renewals: HashMap<String, RenewalTracker>,
     /// Versions of the configuration.
     history: History,
--- a/src/fleet/version_status.rs
+++ b/src/fleet/version_status.rs
@@ -28,13 +28,13 @@
 /// A node's report of its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionStatus {
-    /// The process.
+    /// The process that reports.
     pub holder: LeaseHolderId,
     /// The version in force; 0 is the node's own file without any replicated version.
     pub revision: Revision,
-    /// The first 64 bits of its digest.
+    /// The first 64 bits of the version's digest.
     pub digest: u64,
-    /// A later version that the node could not put in force, and why.
+    /// A later version that the node could not put in force, and the reason.
     pub refused: Option<(Revision, String)>,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// A node that lags behind.
+/// A node behind the released version, or that could not put a later one in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LaggingNode {
     /// Name of the node.
@@ -65,7 +65,7 @@
     /// Time since its last report, ms.
     #[serde(rename = "heard_ms")]
     pub last_seen_ms: u64,
-    /// A later version that it could not put in force, and why.
+    /// A later version that the node could not put in force, and the reason.
     pub refused: Option<(Revision, String)>,
 }
 
@@ -76,7 +76,8 @@
     pub newest: Revision,
     /// Time since this replica applied the newest version, ms; `None` where the replica started with it.
     pub agreed_ms: Option<u64>,
-    /// How many nodes have which version in force, the newest first; at most [`REPORTED_VERSIONS_MAX`] versions.
+    /// Number of nodes that have each version in force, the newest version first; at most [`REPORTED_VERSIONS_MAX`]
+    /// versions.
     pub counts: Vec<(Revision, u32)>,
     /// Nodes without the released version, or that could not put a later one in force; those furthest behind first, at most
     /// [`REPORTED_NODES_MAX`].
--- a/src/zone/health_evaluator/observations.rs
+++ b/src/zone/health_evaluator/observations.rs
@@ -192,8 +192,9 @@
         if others().filter(nodes_agree).count() < 2 {
             return false;
         }
-        let seen_here = compare_zones(&self.pool_calls(|o| o == zone), SampleSize::Significant);
-        let seen_elsewhere = compare_zones(&self.pool_calls(|o| o != zone), SampleSize::Significant);
+        let seen_here = compare_zones(&self.pool_calls(|observer| observer == zone), SampleSize::Significant);
+        let seen_elsewhere =
+            compare_zones(&self.pool_calls(|observer| observer != zone), SampleSize::Significant);
         let known = others().filter(|other| seen_here[*other].is_some()).count();
         let fails_here_alone = |other: &usize| {
             seen_here[*other] == Some(ZoneHealth::Failing)
--- a/src/zone/health_evaluator/tests.rs
+++ b/src/zone/health_evaluator/tests.rs
@@ -73,14 +73,14 @@
     type Case<'a> = (&'a str, Box<dyn Fn(usize, usize) -> Option<ZoneCalls>>, [ZoneState; 3]);
     let cases: Vec<Case> = vec![
         ("all zones are healthy", Box::new(|_, _| Some(HEALTHY)), [In, In, In]),
-        ("a and its nodes are dead", Box::new(move |z, _| (z != 0).then(|| dead(0))), [Out, In, In]),
+        ("a and its nodes are dead", Box::new(move |zone, _| (zone != 0).then(|| dead(0))), [Out, In, In]),
         ("a is dead, its nodes still report", Box::new(move |_, _| Some(dead(0))), [Out, In, In]),
         ("a is 4.6 times slower", Box::new(move |_, _| Some(with(0, (0, 92)))), [Out, In, In]),
         ("one call to b in five fails", Box::new(move |_, _| Some(with(1, (20, 20)))), [In, Out, In]),
         (
             "one observer has a bad link",
-            Box::new(move |z, n| {
-                Some(if (z, n) == (0, 0) { [(0, 20), (100, 0), (90, 20)] } else { HEALTHY })
+            Box::new(move |zone, node| {
+                Some(if (zone, node) == (0, 0) { [(0, 20), (100, 0), (90, 20)] } else { HEALTHY })
             }),
             [In, In, In],
         ),
@@ -92,13 +92,13 @@
         ),
         (
             "b fails for a and is healthy for c",
-            Box::new(move |z, _| Some(if z == 0 { dead(1) } else { HEALTHY })),
+            Box::new(move |zone, _| Some(if zone == 0 { dead(1) } else { HEALTHY })),
             [In, In, In],
         ),
         (
             "a and b can't reach each other",
-            Box::new(move |z, _| {
-                Some(match z {
+            Box::new(move |zone, _| {
+                Some(match zone {
                     0 => dead(1),
                     1 => dead(0),
                     _ => HEALTHY,
@@ -108,12 +108,12 @@
         ),
         (
             "calls from and to a fail, its reports arrive",
-            Box::new(move |z, _| Some(if z == 0 { [(0, 20), (100, 0), (100, 0)] } else { dead(0) })),
+            Box::new(move |zone, _| Some(if zone == 0 { [(0, 20), (100, 0), (100, 0)] } else { dead(0) })),
             [Out, In, In],
         ),
         (
             "calls from a fail, calls to a succeed",
-            Box::new(|z, _| Some(if z == 0 { [(0, 20), (100, 0), (100, 0)] } else { HEALTHY })),
+            Box::new(|zone, _| Some(if zone == 0 { [(0, 20), (100, 0), (100, 0)] } else { HEALTHY })),
             [Out, In, In],
         ),
         (
@@ -123,7 +123,7 @@
         ),
         (
             "the nodes of a send no report during a restart",
-            Box::new(|z, _| (z != 0).then_some(HEALTHY)),
+            Box::new(|zone, _| (zone != 0).then_some(HEALTHY)),
             [In, In, In],
         ),
     ];
