--- a/src/idempotency/attempt.rs
+++ b/src/idempotency/attempt.rs
@@ -1,24 +1,25 @@
-//! What is known of one attempt of a write, and what crosses to another process about it.
+//! One attempt of a write, and the messages about attempts that two processes of a node exchange in a hot restart.
 
 use bytes::Bytes;
 
 use crate::interface::Micros;
 
-/// What links the attempts of one request: the key that its client gave, within the front and the class it came by. The class is
-/// known by its name and not its number, which a reload may change; fronts do not share, as a result is in the form of its
-/// front's wire.
+/// Links the attempts of one request: the key that the client sent, scoped to a front and a class.
+///
+/// The class is stored by name because a reload may change its number. Fronts do not share keys because a result is
+/// encoded in the wire format of its front.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct IdempotencyKey {
-    /// The front's name.
+    /// Name of the front that received the request.
     pub front: String,
-    /// The class's name.
+    /// Name of the request's class.
     pub class: String,
-    /// The client's key.
+    /// The key that the client sent.
     pub key: String,
 }
 
 impl IdempotencyKey {
-    /// Names the key in logs, which must not hold what clients send.
+    /// A short hash (8 hex digits) that identifies the key in logs, which must not contain data sent by clients.
     #[must_use]
     pub fn digest(&self) -> String {
         let Fingerprint(bytes) = Fingerprint::of(self.key.as_bytes());
@@ -26,12 +27,12 @@
     }
 }
 
-/// What tells one body from another: the first bytes of its BLAKE3 hash.
+/// Identifies a request body: the first 16 bytes of its BLAKE3 hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Fingerprint(pub [u8; 16]);
 
 impl Fingerprint {
-    /// That of a body.
+    /// Computes the fingerprint of a request body.
     #[must_use]
     pub fn of(body: &[u8]) -> Fingerprint {
         let hash = blake3::hash(body);
@@ -41,25 +42,26 @@
     }
 }
 
-/// One attempt of a write, as it has been read.
+/// One attempt of a write, with the times at which it matters to other attempts of its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Its name, which no other attempt has.
+    /// Unique name of this attempt.
     pub name: String,
-    /// What links it to others; nothing where its class links none.
+    /// The key that links it to other attempts; `None` if its class does not deduplicate.
     pub key: Option<IdempotencyKey>,
-    /// That of its body.
+    /// Fingerprint of its body.
     pub fingerprint: Fingerprint,
-    /// The earliest time at which it may have been written.
+    /// The earliest time at which the client may have sent it.
     pub earliest: Micros,
-    /// Where it runs, no other attempt of its key that was written before then may.
+    /// Once this attempt runs, no other attempt of its key that was sent before this time may run.
     pub window_end: Micros,
-    /// It is known until then: nothing that was written within its window can be read and still be in time later.
+    /// The store remembers the attempt until this time. An attempt that was sent within the window and is read later
+    /// than this has passed its deadline.
     pub keep_until: Micros,
 }
 
 impl Attempt {
-    /// The same on another clock, which shows `to` where this one shows `from`.
+    /// Converts its times to another process's clock, which shows `to` when this process's clock shows `from`.
     #[must_use]
     pub fn rebased(self, from: Micros, to: Micros) -> Attempt {
         let rebase = |at: Micros| at + to - from;
@@ -72,43 +74,43 @@
     }
 }
 
-/// Where an attempt of another process has got to.
+/// How far an attempt of the other process has progressed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// It is held, or it runs.
+    /// It is queued or running.
     Open,
-    /// It ended well, with this result.
+    /// Its run succeeded with this result.
     Good(Bytes),
-    /// It ended otherwise and may have had its effect, or its result is not there any more.
+    /// Its run failed and may have had its effect, or its result is no longer stored.
     Bad,
 }
 
-/// What crosses to another process about one attempt.
+/// A message about one attempt to the other process of the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It was taken in, or has got further.
+    /// The sender has accepted the attempt, or the attempt has progressed.
     Known(Attempt, Progress),
-    /// It never ran, and will not.
+    /// The attempt never ran and never will.
     Forgotten {
-        /// Its name.
+        /// Name of the attempt.
         name: String,
     },
-    /// The successor has read a write that a key links: may it be taken in?
+    /// The successor asks the incumbent whether it may accept this attempt of a write with a key.
     Asked(Attempt),
-    /// The incumbent's answer: it may.
+    /// The incumbent allows the successor to accept the attempt.
     Granted {
-        /// Its name.
+        /// Name of the attempt.
         name: String,
     },
-    /// The incumbent's answer: the incumbent has another attempt of it, of which it has told.
+    /// The incumbent refuses, because it has another attempt of the same key, which an earlier message described.
     Taken {
-        /// Its name.
+        /// Name of the attempt.
         name: String,
     },
 }
 
 impl Change {
-    /// The same on another clock; see [`Attempt::rebased`].
+    /// Converts the times in the message to another process's clock; see [`Attempt::rebased`].
     #[must_use]
     pub fn rebased(self, from: Micros, to: Micros) -> Change {
         match self {
--- a/src/idempotency/mod.rs
+++ b/src/idempotency/mod.rs
@@ -1,25 +1,28 @@
-//! The one owner of the rule that a write runs once: attempts of late, what became of them, and what a further attempt gets.
-//! No I/O.
+//! The idempotency store: makes sure that a write with a key runs at most once within its window.
 //!
-//! An attempt is known from its reading until nothing that was written within its window can still come. It is asked about
-//! twice: as a further attempt is read ([`Store::verdict`]), and at the one place where a launch leaves ([`Store::launch`]),
-//! whatever was decided in between.
+//! The store remembers recent attempts and their outcomes, and decides what a further attempt of the same key gets. It
+//! does no I/O.
 //!
-//! | the earlier attempt of the key, in its window | a further one gets |
+//! An attempt is remembered from the time it is read until every attempt sent within its window has passed its
+//! deadline. The rule is checked twice: when a further attempt is read ([`Store::verdict`]), and again immediately
+//! before a launch ([`Store::launch`]), regardless of what was decided in between.
+//!
+//! | the earlier attempt of the key, within its window | a further attempt |
 //! |---|---|
-//! | is held, runs, is paused, or is asked of the other process | waits for it |
-//! | ended well | its result |
-//! | ended otherwise, was halted, or its result is gone | a failure |
-//! | belongs to another process and has not ended | a failure |
-//! | was turned away before it ran | runs |
-//! | has another body | a failure: one key stands for one request |
+//! | is queued, running or paused, or awaits the incumbent's answer | waits for it |
+//! | succeeded | gets its result |
+//! | failed, was halted, or its result is no longer stored | fails |
+//! | belongs to the other process and has not ended | fails |
+//! | was refused before it ran | runs |
+//! | has another body | fails, because one key stands for one request |
 //!
-//! What another process has told of counts from the moment that it took the attempt in. News takes time to cross, and two
-//! attempts of one key may reach both processes meanwhile. So while there are two, one decides: the incumbent takes its own in, the
-//! successor asks first ([`Accepted::Ask`]) and is told in the order of the news.
+//! During a hot restart two processes share what they know. An attempt of the other process counts as running from the
+//! time that process accepted it. Messages take time to arrive, and attempts of one key may reach both processes in the
+//! meantime. The incumbent therefore decides for both: it accepts its own attempts, and the successor asks first
+//! ([`Accepted::Ask`]). The answer follows all earlier messages about attempts.
 //!
-//! A full table turns new attempts away; one that may have run is never dropped within its window. Results have a budget of
-//! their own: beyond it the oldest goes, and further attempts of it fail.
+//! A full table refuses new attempts; an attempt that may have run is never dropped within its window. Results have a
+//! separate byte budget: when it is exceeded, the oldest results are dropped, and further attempts of their keys fail.
 
 mod attempt;
 
@@ -31,40 +34,40 @@
 use crate::interface::Micros;
 pub use attempt::{Attempt, Change, Fingerprint, IdempotencyKey, Progress};
 
-/// Attempts known at a time, at most: a minute of writes at the fastest rate that a node has been seen to take.
+/// Most attempts stored at a time: one minute of writes at the highest rate observed on one node.
 pub const ATTEMPTS_MAX: usize = 16_384;
-/// Bytes of results kept, at most: some two thousand of the largest.
+/// Most bytes of stored results: room for about two thousand of the largest.
 pub const RESULT_BYTES_MAX: usize = 8 << 20;
 
-/// Which of a node's processes this is.
+/// The role of this process in a hot restart of its node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Side {
-    /// The only one.
+    /// No hot restart is in progress.
     #[default]
     Alone,
-    /// The one that serves, with a successor.
+    /// The process that serves and has a successor.
     Incumbent,
-    /// The one that takes over.
+    /// The process that takes over.
     Successor,
 }
 
-/// What an attempt that has been read gets.
+/// How an attempt that has been read proceeds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing known keeps it from running.
+    /// No stored attempt prevents it from running.
     New,
-    /// It waits for that attempt of this process.
+    /// It waits for the named attempt, which this process has.
     Wait(String),
-    /// It has this result.
+    /// An earlier attempt succeeded; it gets that result.
     Result(Bytes),
-    /// An earlier one may have run, and there is no result to give.
+    /// It fails: an earlier attempt may have run, and no result is available.
     Failed,
-    /// Its key belongs to a request with another body.
+    /// It fails: its key belongs to a request with another body.
     Conflict,
 }
 
 impl fmt::Display for Verdict {
-    /// The verdict for logs; never a result.
+    /// The verdict as logged. Contents of results are never logged.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Verdict::New => write!(f, "new"),
@@ -76,149 +79,152 @@
     }
 }
 
-/// Whether an attempt may go on.
+/// Whether an attempt has been accepted into the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Accepted {
-    /// It is taken in.
+    /// It has been accepted.
     Go,
-    /// The incumbent has been asked. Until it has answered nothing may run.
+    /// The incumbent has been asked. The attempt must not run before the incumbent allows it.
     Ask,
-    /// The table is full; nothing is known of it, and nothing may run.
+    /// The table is full: the attempt has not been stored and must not run.
     Full,
 }
 
-/// Why a launch may not leave.
+/// Why a launch is withheld.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Withheld {
-    /// That attempt of the same key has run, and this one came within its window.
-    Ran(String),
-    /// This attempt itself has run.
-    Again,
-    /// The incumbent has been asked and has not answered.
-    Asking,
-    /// Nothing is known of it.
+    /// The named attempt of the same key has run, and this one was sent within its window.
+    OtherAttemptRan(String),
+    /// This attempt itself has run already.
+    AlreadyRan,
+    /// The incumbent has been asked about this attempt and has not answered.
+    AwaitingIncumbent,
+    /// This process has not accepted an attempt of this name.
     Unknown,
 }
 
 impl fmt::Display for Withheld {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Withheld::Ran(name) => write!(f, "request {name} of the same key has run"),
-            Withheld::Again => write!(f, "it has run"),
-            Withheld::Asking => write!(f, "the other process has not answered"),
+            Withheld::OtherAttemptRan(name) => write!(f, "request {name} of the same key has run"),
+            Withheld::AlreadyRan => write!(f, "it has run"),
+            Withheld::AwaitingIncumbent => write!(f, "the other process has not answered"),
             Withheld::Unknown => write!(f, "nothing is known of it"),
         }
     }
 }
 
-/// What comes of news from the other process.
+/// What the caller must do about a message from the other process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Received {
-    /// It is noted.
+    /// Nothing; the message has been recorded.
     Noted,
-    /// The attempt of that name, which has been asked for, may go on.
+    /// The incumbent allows the named attempt, which may now proceed.
     Granted(String),
-    /// It may not.
+    /// The incumbent refuses the named attempt; the store no longer has it.
     Taken(String),
 }
 
-/// Where an attempt has got to.
+/// How far an attempt has progressed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum State {
-    /// Nothing has been started for it.
-    Held,
-    /// The incumbent has been asked for it.
-    Asking,
-    /// A run has been started and has not ended; a paused one is one of them.
+enum AttemptState {
+    /// No run has been started for it.
+    Queued,
+    /// The incumbent has been asked about it and has not answered.
+    AwaitingIncumbent,
+    /// A run has been started and has not ended. It may be paused.
     Running,
-    /// A run ended well; the result, while it is kept.
+    /// Its run succeeded; holds the result while that is stored.
     Good(Option<Bytes>),
-    /// A run ended otherwise.
+    /// Its run failed and may have had its effect.
     Bad,
 }
 
-impl State {
+impl AttemptState {
+    /// Whether a run has been started.
     fn ran(&self) -> bool {
-        !matches!(self, State::Held | State::Asking)
+        !matches!(self, AttemptState::Queued | AttemptState::AwaitingIncumbent)
     }
 
     fn result_len(&self) -> usize {
         match self {
-            State::Good(Some(result)) => result.len(),
+            AttemptState::Good(Some(result)) => result.len(),
             _ => 0,
         }
     }
 }
 
 #[derive(Debug)]
-struct Entry {
+struct AttemptRecord {
     attempt: Attempt,
-    state: State,
-    /// Another process told of it.
+    state: AttemptState,
+    /// Whether the other process reported it. This process never launches such an attempt.
     inherited: bool,
-    /// The other process is not told of it.
-    here: bool,
-    /// Its place among the results kept.
-    result: Option<u64>,
+    /// Whether it is kept from the other process.
+    local_only: bool,
+    /// Its position in `IdempotencyStore::results`, if its result is stored.
+    result_position: Option<u64>,
 }
 
-impl Entry {
-    fn own(attempt: Attempt, state: State) -> Entry {
-        Entry { attempt, state, inherited: false, here: false, result: None }
+impl AttemptRecord {
+    fn own(attempt: Attempt, state: AttemptState) -> AttemptRecord {
+        AttemptRecord { attempt, state, inherited: false, local_only: false, result_position: None }
     }
 
-    fn inherited(attempt: Attempt) -> Entry {
-        Entry { inherited: true, ..Entry::own(attempt, State::Running) }
+    fn inherited(attempt: Attempt) -> AttemptRecord {
+        AttemptRecord { inherited: true, ..AttemptRecord::own(attempt, AttemptState::Running) }
     }
 }
 
-/// The table of attempts.
+/// The table of recent attempts of writes.
 #[derive(Debug, Default)]
 pub struct Store {
-    entries: HashMap<String, Entry>,
+    entries: HashMap<String, AttemptRecord>,
     by_key: HashMap<IdempotencyKey, Vec<String>>,
     by_end: BTreeSet<(Micros, String)>,
-    /// Whose results are kept, the oldest first.
+    /// Names of the attempts whose results are stored, oldest first.
     results: BTreeMap<u64, String>,
     result_bytes: usize,
-    next_result: u64,
-    side: Side,
-    /// What has changed here since it was last asked for, while somebody wants to know.
+    latest_result_position: u64,
+    role: Side,
+    /// Messages for the other process since [`Store::changes`] last returned them; `None` while there is no other process.
     changes: Option<Vec<Change>>,
 }
 
 impl Store {
-    /// What an attempt that has been read gets.
+    /// Decides how an attempt that has just been read proceeds.
     #[must_use]
     pub fn verdict(&mut self, now: Micros, attempt: &Attempt) -> Verdict {
-        self.sweep(now);
+        self.remove_expired(now);
         match self.entries.get(&attempt.name) {
-            // Its name has been used before. Only what a key links shares a result.
+            // The same name again: only an attempt with the same key may share the result.
             Some(e) if e.attempt.key.is_none() || e.attempt.key != attempt.key => Verdict::Failed,
             Some(e) if e.attempt.fingerprint != attempt.fingerprint => Verdict::Conflict,
-            Some(Entry { state: State::Good(Some(result)), .. }) => Verdict::Result(result.clone()),
+            Some(AttemptRecord { state: AttemptState::Good(Some(result)), .. }) => {
+                Verdict::Result(result.clone())
+            }
             Some(_) => Verdict::Failed,
             None => self.verdict_by_key(attempt),
         }
     }
 
-    /// What an attempt gets by the others of its key.
+    /// Decides how an attempt proceeds, from the other stored attempts of its key alone.
     #[must_use]
     pub fn verdict_by_key(&self, attempt: &Attempt) -> Verdict {
-        let others = || self.others(attempt);
+        let others = || self.other_attempts(attempt);
         if others().any(|e| e.attempt.fingerprint != attempt.fingerprint) {
             return Verdict::Conflict;
         }
         let result = others().find_map(|e| match &e.state {
-            State::Good(result) => result.clone(),
+            AttemptState::Good(result) => result.clone(),
             _ => None,
         });
         if let Some(result) = result {
             return Verdict::Result(result);
         }
-        if let Some(run) = others().find(|e| e.state == State::Running && !e.inherited) {
+        if let Some(run) = others().find(|e| e.state == AttemptState::Running && !e.inherited) {
             return Verdict::Wait(run.attempt.name.clone());
         }
         if others().any(|e| e.state.ran()) {
@@ -227,105 +233,108 @@
         others().last().map_or(Verdict::New, |e| Verdict::Wait(e.attempt.name.clone()))
     }
 
-    /// Other attempts of its key within whose window it was written.
-    fn others<'a>(&'a self, attempt: &'a Attempt) -> impl Iterator<Item = &'a Entry> {
+    /// Stored attempts of the same key within whose windows this attempt was sent.
+    fn other_attempts<'a>(&'a self, attempt: &'a Attempt) -> impl Iterator<Item = &'a AttemptRecord> {
         let names = attempt.key.as_ref().and_then(|key| self.by_key.get(key)).into_iter().flatten();
         let others = names.filter(|name| **name != attempt.name).filter_map(|name| self.entries.get(name));
         others.filter(|e| attempt.earliest < e.attempt.window_end)
     }
 
-    /// An attempt has been read that may run, or waits for one that does.
+    /// Stores an attempt that may run, or that waits for an attempt that may run.
     pub fn accept(&mut self, now: Micros, attempt: Attempt) -> Accepted {
-        let ask = self.side == Side::Successor;
-        let state = if ask { State::Asking } else { State::Held };
-        if !self.make_room(now) {
+        let must_ask = self.role == Side::Successor;
+        let state = if must_ask { AttemptState::AwaitingIncumbent } else { AttemptState::Queued };
+        if !self.has_room(now) {
             return Accepted::Full;
         }
         let name = attempt.name.clone();
-        self.insert(Entry::own(attempt.clone(), state));
+        self.insert(AttemptRecord::own(attempt.clone(), state));
         match &mut self.changes {
-            Some(changes) if ask => {
+            Some(changes) if must_ask => {
                 changes.push(Change::Asked(attempt));
                 Accepted::Ask
             }
             _ => {
-                self.note(&name);
+                self.queue_change(&name);
                 Accepted::Go
             }
         }
     }
 
-    /// The same for an attempt whose name no other process can tell from its own: the other process is not told of it.
+    /// Like [`Store::accept`], for an attempt whose name may also be the name of an attempt in the other process. The
+    /// other process receives no messages about it.
     pub fn accept_here(&mut self, now: Micros, attempt: Attempt) -> Accepted {
-        if !self.make_room(now) {
+        if !self.has_room(now) {
             return Accepted::Full;
         }
-        self.insert(Entry { here: true, ..Entry::own(attempt, State::Held) });
+        self.insert(AttemptRecord { local_only: true, ..AttemptRecord::own(attempt, AttemptState::Queued) });
         Accepted::Go
     }
 
-    fn make_room(&mut self, now: Micros) -> bool {
-        self.sweep(now);
+    /// Removes expired attempts, and returns whether another one fits.
+    fn has_room(&mut self, now: Micros) -> bool {
+        self.remove_expired(now);
         self.entries.len() < ATTEMPTS_MAX
     }
 
-    /// The one gate of launches: from here on its run counts as started.
+    /// Records the launch of an attempt's run. Every launch must pass this check.
     ///
     /// # Errors
-    /// Why the launch may not leave. Nothing has changed then.
+    /// The reason why the attempt must not be launched. The store is unchanged then.
     pub fn launch(&mut self, name: &str) -> Result<(), Withheld> {
         let entry = self.entries.get(name).filter(|e| !e.inherited).ok_or(Withheld::Unknown)?;
         match entry.state {
-            State::Held => {}
-            State::Asking => return Err(Withheld::Asking),
-            _ => return Err(Withheld::Again),
+            AttemptState::Queued => {}
+            AttemptState::AwaitingIncumbent => return Err(Withheld::AwaitingIncumbent),
+            _ => return Err(Withheld::AlreadyRan),
         }
-        if let Some(other) = self.others(&entry.attempt).find(|e| e.state.ran()) {
-            return Err(Withheld::Ran(other.attempt.name.clone()));
+        if let Some(other) = self.other_attempts(&entry.attempt).find(|e| e.state.ran()) {
+            return Err(Withheld::OtherAttemptRan(other.attempt.name.clone()));
         }
-        self.set_state(name, State::Running);
+        self.set_state(name, AttemptState::Running);
         Ok(())
     }
 
-    /// Its run is over; `result` where it went well.
+    /// Records the end of an attempt's run; `result` is `None` if the run failed.
     pub fn ended(&mut self, name: &str, result: Option<&Bytes>) {
         let Some(e) = self.entries.get(name).filter(|e| !e.inherited) else { return };
-        // A result is of use only where a further attempt can be told by its key.
+        // A result without a key is not stored: only a key links further attempts to it.
         let state = match result {
-            Some(result) => State::Good(e.attempt.key.is_some().then(|| result.clone())),
-            None => State::Bad,
+            Some(result) => AttemptState::Good(e.attempt.key.is_some().then(|| result.clone())),
+            None => AttemptState::Bad,
         };
         self.set_state(name, state);
-        self.note(name);
+        self.queue_change(name);
     }
 
-    /// Nothing was started for it, whatever was asked.
+    /// Records that a launched run was never started, so that the attempt may be launched again.
     pub fn never_ran(&mut self, name: &str) {
         if self.entries.get(name).is_some_and(|e| !e.inherited) {
-            self.set_state(name, State::Held);
+            self.set_state(name, AttemptState::Queued);
         }
     }
 
-    /// It is answered, and nothing goes on for it: if nothing ever did, a further attempt may run. A run that is not over by
-    /// then, as it was paused, never will be.
+    /// Records that the attempt has been answered and no work continues for it. An attempt that never ran is forgotten, so
+    /// that a further one may run. A run that has not ended by now was paused and will never end; it counts as failed.
     pub fn settled(&mut self, name: &str) {
         let Some(e) = self.entries.get(name).filter(|e| !e.inherited) else { return };
-        if e.state == State::Running {
+        if e.state == AttemptState::Running {
             return self.ended(name, None);
         }
         if e.state.ran() {
             return;
         }
-        let told = !e.here;
+        let is_shared = !e.local_only;
         self.remove(name);
-        if told && let Some(changes) = &mut self.changes {
+        if is_shared && let Some(changes) = &mut self.changes {
             changes.push(Change::Forgotten { name: name.to_owned() });
         }
     }
 
-    /// A class's window is this long from now on, for what is known already too, unless it was longer.
+    /// Extends the windows of stored attempts to the length that `window` gives for their class. Windows are never
+    /// shortened.
     pub fn extend_windows(&mut self, window: impl Fn(&str) -> Option<Micros>) {
-        let longer = |e: &Entry| {
+        let longer = |e: &AttemptRecord| {
             let window = window(&e.attempt.key.as_ref()?.class)?;
             let more = (e.attempt.earliest + window) - e.attempt.window_end;
             (more.0 > 0).then(|| (e.attempt.name.clone(), more))
@@ -340,54 +349,56 @@
         }
     }
 
-    // ---- two processes ----
+    // ---- hot restart with two processes ----
 
-    /// All that is known and not over, and from now on each change is kept for [`Store::changes`].
-    pub fn share(&mut self, now: Micros, side: Side) -> Vec<Change> {
-        self.sweep(now);
-        self.side = side;
+    /// Starts a hot restart in the given role. Returns messages about all stored attempts; later changes are collected for
+    /// [`Store::changes`].
+    pub fn share(&mut self, now: Micros, role: Side) -> Vec<Change> {
+        self.remove_expired(now);
+        self.role = role;
         self.changes = Some(Vec::new());
-        self.entries.keys().filter_map(|name| self.known(name)).collect()
+        self.entries.keys().filter_map(|name| self.change_for(name)).collect()
     }
 
-    /// The other process is gone: what it has told counts, and nobody wants to know of changes any more. Gives the names of
-    /// attempts that it was still asked for, which nobody but this one can run now.
+    /// Ends the hot restart, because the other process has exited. What it reported still counts. Returns the names of
+    /// attempts that still awaited its answer; this process may run them now.
     pub fn part(&mut self) -> Vec<String> {
-        (self.side, self.changes) = (Side::Alone, None);
-        let mut asked = Vec::new();
+        (self.role, self.changes) = (Side::Alone, None);
+        let mut unanswered = Vec::new();
         for (name, e) in &mut self.entries {
-            if e.state == State::Asking {
-                e.state = State::Held;
-                asked.push(name.clone());
+            if e.state == AttemptState::AwaitingIncumbent {
+                e.state = AttemptState::Queued;
+                unanswered.push(name.clone());
             }
         }
-        asked
+        unanswered
     }
 
-    /// What has changed since this was last asked.
+    /// Takes the messages for the other process that have been collected since the previous call.
     pub fn changes(&mut self) -> Vec<Change> {
         self.changes.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    /// Another process tells of an attempt. What this one took in itself it knows better.
+    /// Handles a message from the other process. It never changes an attempt that this process accepted itself, except for
+    /// one that awaits the incumbent's answer.
     pub fn receive(&mut self, now: Micros, change: Change) -> Received {
-        self.sweep(now);
+        self.remove_expired(now);
         match change {
-            Change::Known(attempt, progress) => self.inherit(attempt, progress),
+            Change::Known(attempt, progress) => self.record_inherited(attempt, progress),
             Change::Forgotten { name } => {
                 if self.entries.get(&name).is_some_and(|e| e.inherited) {
                     self.remove(&name);
                 }
             }
-            Change::Asked(attempt) => self.asked(attempt),
+            Change::Asked(attempt) => self.answer_successor(attempt),
             Change::Granted { name } => {
-                if self.entries.get(&name).is_some_and(|e| e.state == State::Asking) {
-                    self.set_state(&name, State::Held);
+                if self.entries.get(&name).is_some_and(|e| e.state == AttemptState::AwaitingIncumbent) {
+                    self.set_state(&name, AttemptState::Queued);
                     return Received::Granted(name);
                 }
             }
             Change::Taken { name } => {
-                if self.entries.get(&name).is_some_and(|e| e.state == State::Asking) {
+                if self.entries.get(&name).is_some_and(|e| e.state == AttemptState::AwaitingIncumbent) {
                     self.remove(&name);
                     return Received::Taken(name);
                 }
@@ -396,29 +407,29 @@
         Received::Noted
     }
 
-    fn inherit(&mut self, attempt: Attempt, progress: Progress) {
+    fn record_inherited(&mut self, attempt: Attempt, progress: Progress) {
         if self.entries.get(&attempt.name).is_some_and(|e| !e.inherited) {
             return;
         }
         let state = match progress {
-            Progress::Open => State::Running,
-            Progress::Good(result) => State::Good(attempt.key.is_some().then_some(result)),
-            Progress::Bad => State::Bad,
+            Progress::Open => AttemptState::Running,
+            Progress::Good(result) => AttemptState::Good(attempt.key.is_some().then_some(result)),
+            Progress::Bad => AttemptState::Bad,
         };
         let name = attempt.name.clone();
-        self.insert(Entry::inherited(attempt));
+        self.insert(AttemptRecord::inherited(attempt));
         self.set_state(&name, state);
     }
 
-    /// The successor asks for an attempt. The answer stands behind all news of what was taken in before, so that whoever asked
-    /// knows what it repeats.
-    fn asked(&mut self, attempt: Attempt) {
-        let mine = self.others(&attempt).any(|e| !e.inherited);
+    /// Answers the successor's question about an attempt. The answer is queued after the messages about all attempts
+    /// accepted before, so that a refused successor already knows the attempt that its own one repeats.
+    fn answer_successor(&mut self, attempt: Attempt) {
+        let has_own_attempt = self.other_attempts(&attempt).any(|e| !e.inherited);
         let name = attempt.name.clone();
-        let answer = if mine || self.entries.contains_key(&name) {
+        let answer = if has_own_attempt || self.entries.contains_key(&name) {
             Change::Taken { name }
         } else {
-            self.insert(Entry::inherited(attempt));
+            self.insert(AttemptRecord::inherited(attempt));
             Change::Granted { name }
         };
         if let Some(changes) = &mut self.changes {
@@ -426,73 +437,76 @@
         }
     }
 
-    // ---- the table ----
+    // ---- the table of attempts ----
 
-    /// Attempts known.
+    /// Number of stored attempts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is.
+    /// Whether no attempt is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes of results kept.
+    /// Bytes of stored results.
     #[must_use]
     pub fn result_bytes(&self) -> usize {
         self.result_bytes
     }
 
-    fn known(&self, name: &str) -> Option<Change> {
-        let e = self.entries.get(name).filter(|e| !e.here)?;
+    /// The message that describes a stored attempt to the other process; `None` if it is kept from that process.
+    fn change_for(&self, name: &str) -> Option<Change> {
+        let e = self.entries.get(name).filter(|e| !e.local_only)?;
         let progress = match &e.state {
-            State::Held | State::Asking | State::Running => Progress::Open,
-            State::Good(Some(result)) => Progress::Good(result.clone()),
-            State::Good(None) if e.attempt.key.is_none() => Progress::Good(Bytes::new()),
-            State::Good(None) | State::Bad => Progress::Bad,
+            AttemptState::Queued | AttemptState::AwaitingIncumbent | AttemptState::Running => Progress::Open,
+            AttemptState::Good(Some(result)) => Progress::Good(result.clone()),
+            AttemptState::Good(None) if e.attempt.key.is_none() => Progress::Good(Bytes::new()),
+            AttemptState::Good(None) | AttemptState::Bad => Progress::Bad,
         };
         Some(Change::Known(e.attempt.clone(), progress))
     }
 
-    fn note(&mut self, name: &str) {
+    /// Queues a message about an attempt if there is another process.
+    fn queue_change(&mut self, name: &str) {
         if self.changes.is_none() {
             return;
         }
-        let change = self.known(name);
+        let change = self.change_for(name);
         if let Some(changes) = &mut self.changes {
             changes.extend(change);
         }
     }
 
-    fn set_state(&mut self, name: &str, state: State) {
+    fn set_state(&mut self, name: &str, state: AttemptState) {
         let Some(e) = self.entries.get_mut(name) else { return };
-        if let Some(place) = e.result.take() {
-            self.results.remove(&place);
+        if let Some(position) = e.result_position.take() {
+            self.results.remove(&position);
             self.result_bytes -= e.state.result_len();
         }
         e.state = state;
         if e.state.result_len() > 0 {
-            self.next_result += 1;
-            e.result = Some(self.next_result);
+            self.latest_result_position += 1;
+            e.result_position = Some(self.latest_result_position);
             self.result_bytes += e.state.result_len();
-            self.results.insert(self.next_result, name.to_owned());
+            self.results.insert(self.latest_result_position, name.to_owned());
         }
-        self.bound_results();
+        self.enforce_result_budget();
     }
 
-    fn bound_results(&mut self) {
+    /// Drops the oldest results while the byte budget is exceeded.
+    fn enforce_result_budget(&mut self) {
         while self.result_bytes > RESULT_BYTES_MAX
             && let Some((_, oldest)) = self.results.first_key_value()
         {
             let oldest = oldest.clone();
-            self.set_state(&oldest, State::Good(None));
+            self.set_state(&oldest, AttemptState::Good(None));
         }
     }
 
-    fn insert(&mut self, entry: Entry) {
+    fn insert(&mut self, entry: AttemptRecord) {
         let name = entry.attempt.name.clone();
         self.remove(&name);
         self.by_end.insert((entry.attempt.keep_until, name.clone()));
@@ -503,7 +517,7 @@
     }
 
     fn remove(&mut self, name: &str) {
-        self.set_state(name, State::Bad);
+        self.set_state(name, AttemptState::Bad);
         let Some(e) = self.entries.remove(name) else { return };
         self.by_end.remove(&(e.attempt.keep_until, name.to_owned()));
         if let Some(key) = e.attempt.key
@@ -516,7 +530,8 @@
         }
     }
 
-    fn sweep(&mut self, now: Micros) {
+    /// Removes the attempts that need not be remembered any longer.
+    fn remove_expired(&mut self, now: Micros) {
         while let Some((_, name)) = self.by_end.first().filter(|e| e.0 <= now).cloned() {
             self.remove(&name);
         }
