--- a/src/idempotency/mod.rs
+++ b/src/idempotency/mod.rs
@@ -4,8 +4,8 @@
 //! does no I/O.
 //!
 //! An attempt is remembered from the time it is read until every attempt sent within its window has passed its
-//! deadline. The rule is checked twice: when a further attempt is read ([`Store::verdict`]), and again immediately
-//! before a launch ([`Store::launch`]), regardless of what was decided in between.
+//! deadline. The rule is checked twice: when a further attempt is read ([`IdempotencyStore::verdict`]), and again immediately
+//! before a launch ([`IdempotencyStore::launch`]), regardless of what was decided in between.
 //!
 //! | the earlier attempt of the key, within its window | a further attempt |
 //! |---|---|
@@ -19,7 +19,7 @@
 //! During a hot restart two processes share what they know. An attempt of the other process counts as running from the
 //! time that process accepted it. Messages take time to arrive, and attempts of one key may reach both processes in the
 //! meantime. The incumbent therefore decides for both: it accepts its own attempts, and the successor asks first
-//! ([`Accepted::Ask`]). The answer follows all earlier messages about attempts.
+//! ([`Accepted::AwaitsIncumbent`]). The answer follows all earlier messages about attempts.
 //!
 //! A full table refuses new attempts; an attempt that may have run is never dropped within its window. Results have a
 //! separate byte budget: when it is exceeded, the oldest results are dropped, and further attempts of their keys fail.
@@ -41,7 +41,7 @@
 
 /// The role of this process in a hot restart of its node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Side {
+pub enum HandoverRole {
     /// No hot restart is in progress.
     #[default]
     Alone,
@@ -79,21 +79,21 @@
     }
 }
 
-/// Whether an attempt has been accepted into the store.
+/// Whether an attempt may proceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Accepted {
-    /// It has been accepted.
-    Go,
+    /// It is stored and may proceed.
+    MayProceed,
     /// The incumbent has been asked. The attempt must not run before the incumbent allows it.
-    Ask,
+    AwaitsIncumbent,
     /// The table is full: the attempt has not been stored and must not run.
     Full,
 }
 
 /// Why a launch is withheld.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Withheld {
+pub enum LaunchWithheld {
     /// The named attempt of the same key has run, and this one was sent within its window.
     OtherAttemptRan(String),
     /// This attempt itself has run already.
@@ -104,13 +104,13 @@
     Unknown,
 }
 
-impl fmt::Display for Withheld {
+impl fmt::Display for LaunchWithheld {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Withheld::OtherAttemptRan(name) => write!(f, "request {name} of the same key has run"),
-            Withheld::AlreadyRan => write!(f, "it has run"),
-            Withheld::AwaitingIncumbent => write!(f, "the other process has not answered"),
-            Withheld::Unknown => write!(f, "nothing is known of it"),
+            LaunchWithheld::OtherAttemptRan(name) => write!(f, "request {name} of the same key has run"),
+            LaunchWithheld::AlreadyRan => write!(f, "it has run"),
+            LaunchWithheld::AwaitingIncumbent => write!(f, "the other process has not answered"),
+            LaunchWithheld::Unknown => write!(f, "nothing is known of it"),
         }
     }
 }
@@ -118,9 +118,9 @@
 /// What the caller must do about a message from the other process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use]
-pub enum Received {
+pub enum ChangeOutcome {
     /// Nothing; the message has been recorded.
-    Noted,
+    Recorded,
     /// The incumbent allows the named attempt, which may now proceed.
     Granted(String),
     /// The incumbent refuses the named attempt; the store no longer has it.
@@ -180,7 +180,7 @@
 
 /// The table of recent attempts of writes.
 #[derive(Debug, Default)]
-pub struct Store {
+pub struct IdempotencyStore {
     entries: HashMap<String, AttemptRecord>,
     by_key: HashMap<IdempotencyKey, Vec<String>>,
     by_end: BTreeSet<(Micros, String)>,
@@ -188,12 +188,12 @@
     results: BTreeMap<u64, String>,
     result_bytes: usize,
     latest_result_position: u64,
-    role: Side,
-    /// Messages for the other process since [`Store::changes`] last returned them; `None` while there is no other process.
+    role: HandoverRole,
+    /// Messages for the other process since [`IdempotencyStore::take_changes`] last returned them; `None` while there is no other process.
     changes: Option<Vec<Change>>,
 }
 
-impl Store {
+impl IdempotencyStore {
     /// Decides how an attempt that has just been read proceeds.
     #[must_use]
     pub fn verdict(&mut self, now: Micros, attempt: &Attempt) -> Verdict {
@@ -242,7 +242,7 @@
 
     /// Stores an attempt that may run, or that waits for an attempt that may run.
     pub fn accept(&mut self, now: Micros, attempt: Attempt) -> Accepted {
-        let must_ask = self.role == Side::Successor;
+        let must_ask = self.role == HandoverRole::Successor;
         let state = if must_ask { AttemptState::AwaitingIncumbent } else { AttemptState::Queued };
         if !self.has_room(now) {
             return Accepted::Full;
@@ -252,23 +252,23 @@
         match &mut self.changes {
             Some(changes) if must_ask => {
                 changes.push(Change::Asked(attempt));
-                Accepted::Ask
+                Accepted::AwaitsIncumbent
             }
             _ => {
                 self.queue_change(&name);
-                Accepted::Go
+                Accepted::MayProceed
             }
         }
     }
 
-    /// Like [`Store::accept`], for an attempt whose name may also be the name of an attempt in the other process. The
+    /// Like [`IdempotencyStore::accept`], for an attempt whose name may also be the name of an attempt in the other process. The
     /// other process receives no messages about it.
-    pub fn accept_here(&mut self, now: Micros, attempt: Attempt) -> Accepted {
+    pub fn accept_unshared(&mut self, now: Micros, attempt: Attempt) -> Accepted {
         if !self.has_room(now) {
             return Accepted::Full;
         }
         self.insert(AttemptRecord { local_only: true, ..AttemptRecord::own(attempt, AttemptState::Queued) });
-        Accepted::Go
+        Accepted::MayProceed
     }
 
     /// Removes expired attempts, and returns whether another one fits.
@@ -281,15 +281,15 @@
     ///
     /// # Errors
     /// The reason why the attempt must not be launched. The store is unchanged then.
-    pub fn launch(&mut self, name: &str) -> Result<(), Withheld> {
-        let entry = self.entries.get(name).filter(|e| !e.inherited).ok_or(Withheld::Unknown)?;
+    pub fn launch(&mut self, name: &str) -> Result<(), LaunchWithheld> {
+        let entry = self.entries.get(name).filter(|e| !e.inherited).ok_or(LaunchWithheld::Unknown)?;
         match entry.state {
             AttemptState::Queued => {}
-            AttemptState::AwaitingIncumbent => return Err(Withheld::AwaitingIncumbent),
-            _ => return Err(Withheld::AlreadyRan),
+            AttemptState::AwaitingIncumbent => return Err(LaunchWithheld::AwaitingIncumbent),
+            _ => return Err(LaunchWithheld::AlreadyRan),
         }
         if let Some(other) = self.other_attempts(&entry.attempt).find(|e| e.state.ran()) {
-            return Err(Withheld::OtherAttemptRan(other.attempt.name.clone()));
+            return Err(LaunchWithheld::OtherAttemptRan(other.attempt.name.clone()));
         }
         self.set_state(name, AttemptState::Running);
         Ok(())
@@ -352,8 +352,8 @@
     // ---- hot restart with two processes ----
 
     /// Starts a hot restart in the given role. Returns messages about all stored attempts; later changes are collected for
-    /// [`Store::changes`].
-    pub fn share(&mut self, now: Micros, role: Side) -> Vec<Change> {
+    /// [`IdempotencyStore::take_changes`].
+    pub fn start_sharing(&mut self, now: Micros, role: HandoverRole) -> Vec<Change> {
         self.remove_expired(now);
         self.role = role;
         self.changes = Some(Vec::new());
@@ -362,8 +362,8 @@
 
     /// Ends the hot restart, because the other process has exited. What it reported still counts. Returns the names of
     /// attempts that still awaited its answer; this process may run them now.
-    pub fn part(&mut self) -> Vec<String> {
-        (self.role, self.changes) = (Side::Alone, None);
+    pub fn end_sharing(&mut self) -> Vec<String> {
+        (self.role, self.changes) = (HandoverRole::Alone, None);
         let mut unanswered = Vec::new();
         for (name, e) in &mut self.entries {
             if e.state == AttemptState::AwaitingIncumbent {
@@ -375,13 +375,13 @@
     }
 
     /// Takes the messages for the other process that have been collected since the previous call.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<Change> {
         self.changes.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
     /// Handles a message from the other process. It never changes an attempt that this process accepted itself, except for
     /// one that awaits the incumbent's answer.
-    pub fn receive(&mut self, now: Micros, change: Change) -> Received {
+    pub fn receive(&mut self, now: Micros, change: Change) -> ChangeOutcome {
         self.remove_expired(now);
         match change {
             Change::Known(attempt, progress) => self.record_inherited(attempt, progress),
@@ -394,17 +394,17 @@
             Change::Granted { name } => {
                 if self.entries.get(&name).is_some_and(|e| e.state == AttemptState::AwaitingIncumbent) {
                     self.set_state(&name, AttemptState::Queued);
-                    return Received::Granted(name);
+                    return ChangeOutcome::Granted(name);
                 }
             }
             Change::Taken { name } => {
                 if self.entries.get(&name).is_some_and(|e| e.state == AttemptState::AwaitingIncumbent) {
                     self.remove(&name);
-                    return Received::Taken(name);
+                    return ChangeOutcome::Taken(name);
                 }
             }
         }
-        Received::Noted
+        ChangeOutcome::Recorded
     }
 
     fn record_inherited(&mut self, attempt: Attempt, progress: Progress) {
--- a/src/idempotency/tests.rs
+++ b/src/idempotency/tests.rs
@@ -31,15 +31,15 @@
 }
 
 /// Delivers messages to the other process's store.
-fn deliver(changes: Vec<Change>, to: &mut Store) -> Vec<Received> {
+fn deliver(changes: Vec<Change>, to: &mut IdempotencyStore) -> Vec<ChangeOutcome> {
     changes.into_iter().map(|c| to.receive(AT, c)).collect()
 }
 
-fn launched(s: &mut Store, name: &str) {
+fn launched(s: &mut IdempotencyStore, name: &str) {
     assert_eq!(s.launch(name), Ok(()));
 }
 
-type History = fn(&mut Store);
+type History = fn(&mut IdempotencyStore);
 
 /// Histories of a first attempt, each with the verdicts on a further one in the same process and in its successor.
 fn histories() -> [(&'static str, History, Verdict, Verdict); 7] {
@@ -95,13 +95,17 @@
 fn verdict_on_a_further_attempt_follows_the_history_of_the_first() {
     for (history, apply_history, own_verdict, successor_verdict) in histories() {
         for is_shared_before in [true, false] {
-            let (mut old, mut new) = (Store::default(), Store::default());
+            let (mut old, mut new) = (IdempotencyStore::default(), IdempotencyStore::default());
             if is_shared_before {
-                deliver(old.share(AT, Side::Incumbent), &mut new);
+                deliver(old.start_sharing(AT, HandoverRole::Incumbent), &mut new);
             }
-            assert_eq!(old.accept(AT, attempt("a", "k")), Accepted::Go);
+            assert_eq!(old.accept(AT, attempt("a", "k")), Accepted::MayProceed);
             apply_history(&mut old);
-            let messages = if is_shared_before { old.changes() } else { old.share(AT, Side::Incumbent) };
+            let messages = if is_shared_before {
+                old.take_changes()
+            } else {
+                old.start_sharing(AT, HandoverRole::Incumbent)
+            };
             deliver(messages, &mut new);
             for (s, want) in [(&mut old, &own_verdict), (&mut new, &successor_verdict)] {
                 assert_eq!(s.verdict(AT, &attempt("b", "k")), *want, "{history}, by key");
@@ -123,8 +127,8 @@
 #[test]
 fn a_name_used_again_shares_a_result_only_with_the_same_key() {
     for first in [attempt("a", "k"), without_key("a")] {
-        let mut s = Store::default();
-        assert_eq!(s.accept(AT, first.clone()), Accepted::Go);
+        let mut s = IdempotencyStore::default();
+        assert_eq!(s.accept(AT, first.clone()), Accepted::MayProceed);
         launched(&mut s, "a");
         s.ended("a", Some(&done()));
         let want = if first.key.is_some() { Verdict::Result(done()) } else { Verdict::Failed };
@@ -137,42 +141,42 @@
 /// At most one attempt of a key is launched within its window, regardless of earlier verdicts.
 #[test]
 fn launch_is_withheld_from_repeats_and_from_attempts_not_allowed_yet() {
-    let mut s = Store::default();
-    assert_eq!(s.launch("a"), Err(Withheld::Unknown));
+    let mut s = IdempotencyStore::default();
+    assert_eq!(s.launch("a"), Err(LaunchWithheld::Unknown));
     for name in ["a", "b"] {
-        assert_eq!(s.accept(AT, attempt(name, "k")), Accepted::Go);
+        assert_eq!(s.accept(AT, attempt(name, "k")), Accepted::MayProceed);
     }
     launched(&mut s, "a");
-    assert_eq!(s.launch("a"), Err(Withheld::AlreadyRan));
-    assert_eq!(s.launch("b"), Err(Withheld::OtherAttemptRan("a".to_owned())));
+    assert_eq!(s.launch("a"), Err(LaunchWithheld::AlreadyRan));
+    assert_eq!(s.launch("b"), Err(LaunchWithheld::OtherAttemptRan("a".to_owned())));
     s.ended("a", None);
-    assert_eq!(s.launch("b"), Err(Withheld::OtherAttemptRan("a".to_owned())));
-    s.share(AT, Side::Successor);
-    assert_eq!(s.accept(AT, attempt("c", "l")), Accepted::Ask);
-    assert_eq!(s.launch("c"), Err(Withheld::AwaitingIncumbent));
+    assert_eq!(s.launch("b"), Err(LaunchWithheld::OtherAttemptRan("a".to_owned())));
+    s.start_sharing(AT, HandoverRole::Successor);
+    assert_eq!(s.accept(AT, attempt("c", "l")), Accepted::AwaitsIncumbent);
+    assert_eq!(s.launch("c"), Err(LaunchWithheld::AwaitingIncumbent));
     deliver(vec![Change::Granted { name: "c".to_owned() }], &mut s);
     launched(&mut s, "c");
     deliver(vec![Change::Known(attempt("d", "m"), Progress::Open)], &mut s);
-    assert_eq!(s.launch("d"), Err(Withheld::Unknown));
+    assert_eq!(s.launch("d"), Err(LaunchWithheld::Unknown));
 }
 
 /// A full table refuses new attempts and drops none. Results have a separate byte budget.
 #[test]
 fn stored_attempts_and_result_bytes_are_bounded() {
-    let mut s = Store::default();
+    let mut s = IdempotencyStore::default();
     let big = Bytes::from(vec![0; 64 << 10]);
     for n in 0..ATTEMPTS_MAX {
-        assert_eq!(s.accept(AT, attempt(&n.to_string(), &n.to_string())), Accepted::Go);
+        assert_eq!(s.accept(AT, attempt(&n.to_string(), &n.to_string())), Accepted::MayProceed);
         launched(&mut s, &n.to_string());
         s.ended(&n.to_string(), Some(&big));
     }
     assert_eq!(s.accept(AT, attempt("more", "k")), Accepted::Full);
-    assert_eq!(s.accept_here(AT, attempt("more", "k")), Accepted::Full);
+    assert_eq!(s.accept_unshared(AT, attempt("more", "k")), Accepted::Full);
     assert_eq!((s.len(), s.by_end.len()), (ATTEMPTS_MAX, ATTEMPTS_MAX));
     assert!(s.result_bytes() <= RESULT_BYTES_MAX && s.results.len() == RESULT_BYTES_MAX / big.len());
     assert_eq!(s.verdict(AT, &attempt("x", "0")), Verdict::Failed);
-    let mut new = Store::default();
-    deliver(s.share(AT, Side::Incumbent), &mut new);
+    let mut new = IdempotencyStore::default();
+    deliver(s.start_sharing(AT, HandoverRole::Incumbent), &mut new);
     assert_eq!(
         new.verdict(AT, &attempt("x", "0")),
         Verdict::Failed,
@@ -180,14 +184,14 @@
     );
     let last = (ATTEMPTS_MAX - 1).to_string();
     assert_eq!(s.verdict(AT, &attempt("x", &last)), Verdict::Result(big));
-    assert_eq!(s.accept(KEEP_UNTIL, attempt("more", "k")), Accepted::Go);
+    assert_eq!(s.accept(KEEP_UNTIL, attempt("more", "k")), Accepted::MayProceed);
     assert_eq!((s.len(), s.by_key.len(), s.results.len(), s.result_bytes()), (1, 1, 0, 0));
 }
 
 #[test]
 fn messages_never_change_an_attempt_that_this_process_runs() {
-    let mut s = Store::default();
-    assert_eq!(s.accept(AT, attempt("a", "k")), Accepted::Go);
+    let mut s = IdempotencyStore::default();
+    assert_eq!(s.accept(AT, attempt("a", "k")), Accepted::MayProceed);
     launched(&mut s, "a");
     let messages = [
         Change::Forgotten { name: "a".to_owned() },
@@ -195,7 +199,7 @@
         Change::Granted { name: "a".to_owned() },
         Change::Taken { name: "a".to_owned() },
     ];
-    assert!(deliver(messages.to_vec(), &mut s).iter().all(|r| *r == Received::Noted));
+    assert!(deliver(messages.to_vec(), &mut s).iter().all(|r| *r == ChangeOutcome::Recorded));
     assert_eq!(s.verdict(AT, &attempt("b", "k")), Verdict::Wait("a".to_owned()));
 }
 
@@ -204,15 +208,15 @@
 #[test]
 fn a_reload_never_shortens_the_window_of_a_stored_attempt() {
     for (window, is_extended) in [(20_000, true), (1_000, false)] {
-        let mut s = Store::default();
-        assert_eq!(s.accept(AT, attempt("a", "k")), Accepted::Go);
+        let mut s = IdempotencyStore::default();
+        assert_eq!(s.accept(AT, attempt("a", "k")), Accepted::MayProceed);
         launched(&mut s, "a");
         s.extend_windows(|class| (class == "order").then_some(Micros(window)));
         let early = Attempt { earliest: WINDOW_END - Micros(1), ..attempt("b", "k") };
         assert_eq!(s.verdict(AT, &early), Verdict::Wait("a".to_owned()));
         let late = Attempt { earliest: AT + Micros(19_000), ..attempt("b", "k") };
         assert_eq!(s.verdict(KEEP_UNTIL, &late) == Verdict::Wait("a".to_owned()), is_extended);
-        assert_eq!(s.accept(KEEP_UNTIL, late), Accepted::Go);
+        assert_eq!(s.accept(KEEP_UNTIL, late), Accepted::MayProceed);
         assert_eq!(s.len(), if is_extended { 2 } else { 1 });
     }
 }
@@ -248,14 +252,18 @@
         ),
     ];
     for (history, apply_history, granted) in table {
-        let (mut old, mut new) = (Store::default(), Store::default());
-        old.share(AT, Side::Incumbent);
-        new.share(AT, Side::Successor);
+        let (mut old, mut new) = (IdempotencyStore::default(), IdempotencyStore::default());
+        old.start_sharing(AT, HandoverRole::Incumbent);
+        new.start_sharing(AT, HandoverRole::Successor);
         apply_history(&mut old);
-        assert_eq!(new.accept(AT, attempt("b", "k")), Accepted::Ask);
-        deliver(new.changes(), &mut old);
-        let want = if granted { Received::Granted("b".to_owned()) } else { Received::Taken("b".to_owned()) };
-        assert_eq!(deliver(old.changes(), &mut new).pop(), Some(want), "{history}");
+        assert_eq!(new.accept(AT, attempt("b", "k")), Accepted::AwaitsIncumbent);
+        deliver(new.take_changes(), &mut old);
+        let want = if granted {
+            ChangeOutcome::Granted("b".to_owned())
+        } else {
+            ChangeOutcome::Taken("b".to_owned())
+        };
+        assert_eq!(deliver(old.take_changes(), &mut new).pop(), Some(want), "{history}");
         // The incumbent knows the attempt that it allowed, and fails a further one without asking.
         assert_eq!(
             old.verdict(AT, &attempt("c", "k")) == Verdict::Failed,
@@ -269,19 +277,19 @@
 /// leaves no trace in the incumbent.
 #[test]
 fn unanswered_attempts_are_released_when_the_incumbent_exits() {
-    let (mut old, mut new) = (Store::default(), Store::default());
-    old.share(AT, Side::Incumbent);
-    new.share(AT, Side::Successor);
-    assert_eq!(new.accept(AT, attempt("a", "k")), Accepted::Ask);
-    assert_eq!(new.accept(AT, attempt("b", "l")), Accepted::Ask);
-    deliver(new.changes(), &mut old);
+    let (mut old, mut new) = (IdempotencyStore::default(), IdempotencyStore::default());
+    old.start_sharing(AT, HandoverRole::Incumbent);
+    new.start_sharing(AT, HandoverRole::Successor);
+    assert_eq!(new.accept(AT, attempt("a", "k")), Accepted::AwaitsIncumbent);
+    assert_eq!(new.accept(AT, attempt("b", "l")), Accepted::AwaitsIncumbent);
+    deliver(new.take_changes(), &mut old);
     new.settled("a");
-    deliver(new.changes(), &mut old);
+    deliver(new.take_changes(), &mut old);
     assert_eq!(old.verdict(AT, &attempt("c", "k")), Verdict::New);
-    assert_eq!(new.part(), ["b"]);
-    assert!(new.part().is_empty());
+    assert_eq!(new.end_sharing(), ["b"]);
+    assert!(new.end_sharing().is_empty());
     // Answers that arrive after that have no effect.
-    assert_eq!(deliver(old.changes(), &mut new), [Received::Noted, Received::Noted]);
+    assert_eq!(deliver(old.take_changes(), &mut new), [ChangeOutcome::Recorded, ChangeOutcome::Recorded]);
 }
 
 /// Each process has its own clock, so messages carry times relative to the sender's clock.
@@ -315,7 +323,7 @@
     fn no_key_runs_twice_within_a_window(
         events in vec((0..8u8, 0..3usize, 0..2u8, 0..40u64), 1..120)
     ) {
-        let mut s = Store::default();
+        let mut s = IdempotencyStore::default();
         let (mut now, mut runs) = (10_000u64, Vec::<Run>::new());
         // Open attempts: name, key, body, time sent, running.
         let mut open: Vec<(String, usize, u8, u64, bool)> = Vec::new();
@@ -348,11 +356,11 @@
                         Verdict::Wait(name) => {
                             let other = open.iter().find(|h| h.0 == name);
                             prop_assert!(other.is_some_and(|h| (h.1, h.2) == (k, body)), "waits for an attempt that is not open");
-                            prop_assert_eq!(s.accept(Micros(now), a), Accepted::Go);
+                            prop_assert_eq!(s.accept(Micros(now), a), Accepted::MayProceed);
                             open.push((format!("t{n}"), k, body, sent, false));
                         }
                         Verdict::New => {
-                            prop_assert_eq!(s.accept(Micros(now), a), Accepted::Go);
+                            prop_assert_eq!(s.accept(Micros(now), a), Accepted::MayProceed);
                             open.push((format!("t{n}"), k, body, sent, false));
                         }
                     }
@@ -389,9 +397,9 @@
     /// processes runs the key; what one refused before it ran, the other may run.
     #[test]
     fn a_key_never_runs_in_both_processes(events in vec((0..6u8, 0..2usize), 1..60)) {
-        let mut both = [Store::default(), Store::default()];
-        both[0].share(AT, Side::Incumbent);
-        both[1].share(AT, Side::Successor);
+        let mut both = [IdempotencyStore::default(), IdempotencyStore::default()];
+        both[0].start_sharing(AT, HandoverRole::Incumbent);
+        both[1].start_sharing(AT, HandoverRole::Successor);
         // Messages under way from each process, and the open attempts of each: name, and whether it runs.
         let mut messages = [std::collections::VecDeque::new(), std::collections::VecDeque::new()];
         let mut open: [Vec<(String, bool)>; 2] = Default::default();
@@ -401,7 +409,7 @@
             match event {
                 0 | 1 => {
                     let a = attempt(&format!("t{n}"), "k");
-                    if s.verdict(AT, &a) == Verdict::New && s.accept(AT, a) == Accepted::Go {
+                    if s.verdict(AT, &a) == Verdict::New && s.accept(AT, a) == Accepted::MayProceed {
                         open[process].push((format!("t{n}"), false));
                     }
                 }
@@ -420,14 +428,14 @@
                 // A message arrives.
                 _ => {
                     if let Some(change) = messages[1 - process].pop_front()
-                        && let Received::Granted(name) = both[process].receive(AT, change)
+                        && let ChangeOutcome::Granted(name) = both[process].receive(AT, change)
                     {
                         open[process].push((name, false));
                     }
                 }
             }
             for (s, queue) in both.iter_mut().zip(&mut messages) {
-                queue.extend(s.changes());
+                queue.extend(s.take_changes());
             }
             prop_assert!(!(ran[0] && ran[1]), "both processes have run the key");
         }
--- a/src/node/intake.rs
+++ b/src/node/intake.rs
@@ -11,7 +11,7 @@
 };
 use super::request_table::{ExecutionState, RequestEntry};
 use super::{ANSWER_MARGIN, Node, SAMPLE_TIMEOUT};
-use crate::idempotency::{Accepted, Attempt, Change, Fingerprint, IdempotencyKey, Received, Verdict};
+use crate::idempotency::{Accepted, Attempt, Change, ChangeOutcome, Fingerprint, IdempotencyKey, Verdict};
 use crate::interface::{ClassSettings, Effect, Event, Micros, Request, RequestId};
 
 /// How long the incumbent's answer is awaited. It answers within its next turn, a few ms; when it stalls for longer the
@@ -58,13 +58,13 @@
         }
         let accepted = match attempt.clone() {
             Some(attempt) => self.accept_attempt(now, incoming.reference_scope, attempt),
-            None => Accepted::Go,
+            None => Accepted::MayProceed,
         };
         if accepted == Accepted::Full {
             return self.answer_untabled(&incoming.name, route, STORE_FULL, out);
         }
         self.insert_request(now, id, route, incoming, attempt, due);
-        if accepted == Accepted::Ask {
+        if accepted == Accepted::AwaitsIncumbent {
             self.counters.incumbent_queries += 1;
             self.incumbent_queries.insert(id, request);
             self.deadlines.insert((now + INCUMBENT_QUERY_TIMEOUT, Deadline::IncumbentQuery(id)));
@@ -97,7 +97,7 @@
     fn accept_attempt(&mut self, now: Micros, scope: ReferenceScope, attempt: Attempt) -> Accepted {
         match scope {
             ReferenceScope::AllProcesses => self.idempotency.accept(now, attempt),
-            ReferenceScope::ThisProcess => self.idempotency.accept_here(now, attempt),
+            ReferenceScope::ThisProcess => self.idempotency.accept_unshared(now, attempt),
         }
     }
 
@@ -185,9 +185,9 @@
     /// The other process of this node has reported a change to a write.
     pub(super) fn receive_change(&mut self, now: Micros, change: Change, out: &mut Vec<Output>) {
         match self.idempotency.receive(now, change) {
-            Received::Noted => {}
-            Received::Granted(name) => self.write_granted(now, &name, out),
-            Received::Taken(name) => {
+            ChangeOutcome::Recorded => {}
+            ChangeOutcome::Granted(name) => self.write_granted(now, &name, out),
+            ChangeOutcome::Taken(name) => {
                 if let Some(&id) = self.by_name.get(&name) {
                     self.answer_repeat_of_peer(now, id, out);
                 }
@@ -197,7 +197,7 @@
 
     /// The other process has ended: every write that it was asked about may go on.
     pub(super) fn peer_process_ended(&mut self, now: Micros, out: &mut Vec<Output>) {
-        for name in self.idempotency.part() {
+        for name in self.idempotency.end_sharing() {
             self.write_granted(now, &name, out);
         }
     }
--- a/src/node/launch.rs
+++ b/src/node/launch.rs
@@ -10,7 +10,7 @@
 use super::request_table::ExecutionState;
 use super::shared_reads::CachedRead;
 use super::{Node, intake};
-use crate::idempotency::{Verdict, Withheld};
+use crate::idempotency::{LaunchWithheld, Verdict};
 use crate::interface::{Event, Micros, Outcome, RequestId, StopMode};
 
 /// How a run ended, as its worker reports it.
@@ -69,7 +69,13 @@
     }
 
     /// Answers a request whose launch would run a write twice.
-    fn withhold_launch(&mut self, now: Micros, id: RequestId, reason: &Withheld, out: &mut Vec<Output>) {
+    fn withhold_launch(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        reason: &LaunchWithheld,
+        out: &mut Vec<Output>,
+    ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.state = ExecutionState::Queued;
         self.counters.withheld_launches += 1;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -23,7 +23,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use crate::idempotency::Store;
+use crate::idempotency::IdempotencyStore;
 use crate::interface::{
     Action, ClassId, Event, Micros, Request, RequestId, Settings, SettingsError, TimerToken,
 };
@@ -90,7 +90,7 @@
     slots_in_use: u32,
     slot_samples: VecDeque<(Micros, f64)>,
     /// Recent writes, here and in the process that this one replaces or that replaces it.
-    pub idempotency: Store,
+    pub idempotency: IdempotencyStore,
     /// Open front connections, as the runtime counts them.
     pub open_connections: usize,
     /// What has been counted since the start.
@@ -128,7 +128,7 @@
             machine_share: 1.0,
             slots_in_use: 0,
             slot_samples: VecDeque::new(),
-            idempotency: Store::default(),
+            idempotency: IdempotencyStore::default(),
             open_connections: 0,
             counters: Counters::default(),
         }
--- a/src/runtime/hot_restart.rs
+++ b/src/runtime/hot_restart.rs
@@ -26,7 +26,7 @@
 use tracing::{debug, info, warn};
 
 use super::{Event, Runtime};
-use crate::idempotency::{Change, Side};
+use crate::idempotency::{Change, HandoverRole};
 use crate::interface::Micros;
 use crate::node::Input;
 use crate::service::handover::{HandoverCodec, HandoverError, HandoverMessage, MAX_LISTENERS, WIRE_NOW};
@@ -312,7 +312,7 @@
         let (queue, said) = mpsc::channel(QUEUE);
         let now = process::now();
         self.node.set_machine_share(now, HALF, &mut self.outputs);
-        let known = to_wire(now, self.node.idempotency.share(now, Side::Successor));
+        let known = to_wire(now, self.node.idempotency.start_sharing(now, HandoverRole::Successor));
         let _ = queue.try_send(known);
         self.peer_process = Some(Link { n: 0, queue, heir: true, ready: false });
         tokio::task::spawn_local(talk(0, inherited.link, said, self.events.clone()));
@@ -348,7 +348,7 @@
                 }
                 info!("an heir is there");
                 let (queue, said) = mpsc::channel(QUEUE);
-                let known = to_wire(now, self.node.idempotency.share(now, Side::Incumbent));
+                let known = to_wire(now, self.node.idempotency.start_sharing(now, HandoverRole::Incumbent));
                 let _ = queue.try_send(known);
                 self.peer_process = Some(Link { n, queue, heir: false, ready: false });
                 let listeners = self.listeners.iter().map(|o| (o.at, o.listener.clone())).collect();
@@ -407,7 +407,7 @@
     /// Tells the other process, if there is one, of writes.
     pub(super) fn tell_kin(&mut self) {
         let Some(link) = &self.peer_process else { return };
-        let changes = to_wire(process::now(), self.node.idempotency.changes());
+        let changes = to_wire(process::now(), self.node.idempotency.take_changes());
         if !changes.is_empty() && link.queue.try_send(changes).is_err() {
             warn!("the other process of this node lags behind; the link is dropped");
             self.peer_process = None;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use common::core::{Core, origin};
-use holdlift::idempotency::Side;
+use holdlift::idempotency::HandoverRole;
 use holdlift::node::{Answer, FailureReason, IncomingRequest, Input, Output, Worker};
 use holdlift::time::Arrival;
 use holdlift::{Micros, Outcome};
@@ -193,13 +193,13 @@
 fn pair() -> (Core, Core) {
     let (mut holder, mut heir) = (Core::started(), Core::started());
     let now = holder.now;
-    holder.node.idempotency.share(now, Side::Incumbent);
-    heir.node.idempotency.share(now, Side::Successor);
+    holder.node.idempotency.start_sharing(now, HandoverRole::Incumbent);
+    heir.node.idempotency.start_sharing(now, HandoverRole::Successor);
     (holder, heir)
 }
 
 fn news(from: &mut Core) -> Vec<Input> {
-    from.node.idempotency.changes().into_iter().map(Input::ChangeReceived).collect()
+    from.node.idempotency.take_changes().into_iter().map(Input::ChangeReceived).collect()
 }
 
 /// Two tries of one keyed write reach both processes while news of neither has crossed. Both once ran.
