--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,23 +1,23 @@
-//! What the decision module has the server do.
+//! Actions: instructions of the decision module to the server.
 
 use super::{Micros, RequestId, TimerToken};
 
-/// What the server is to do. Actions take effect in order.
+/// An instruction to the server. The server carries out actions in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start a queued request, or resume a paused one.
     Run(RequestId),
     /// Place the call that a request waits for; it is abandoned at the given time.
     Call(RequestId, Micros),
-    /// Go on without the call.
+    /// Continue the request without its call.
     SkipCall(RequestId),
     /// Final answer: failed; the work may have run.
     Fail(RequestId),
     /// Final answer: refused; the request never ran.
     Refuse {
-        /// Which request.
+        /// The refused request.
         id: RequestId,
-        /// Whether the caller is asked not to try elsewhere.
+        /// Whether the caller should not retry on another server.
         is_final: bool,
         /// How long the caller should wait before it tries again; zero for no advice.
         retry_after: Micros,
@@ -30,9 +30,9 @@
     RetainKey(RequestId, Micros),
     /// Drop the request's retained key.
     ForgetKey(RequestId),
-    /// Answer health checks so from now on.
+    /// Set how health checks are answered from now on.
     Health {
-        /// Whether to answer from this state alone, without work.
+        /// Whether to answer from this action alone, without doing the check's work.
         stored: bool,
         /// Whether the server is healthy.
         good: bool,
@@ -41,8 +41,8 @@
     SetLoadSignal(f64),
     /// Close connections idle for this long.
     CloseIdleConnections(Micros),
-    /// Ask for [`Event::Timer`](super::Event::Timer) after this long.
+    /// Deliver [`Event::Timer`](super::Event::Timer) after this long.
     Timer(TimerToken, Micros),
-    /// Write one line to the operators' log.
+    /// Write one line to the log.
     Log(String),
 }
--- a/src/interface/error.rs
+++ b/src/interface/error.rs
@@ -4,7 +4,7 @@
 
 use super::{CLASSES_MAX, RequestId};
 
-/// Settings that no server can have.
+/// Why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum SettingsError {
@@ -22,7 +22,7 @@
     OutOfRange(&'static str),
 }
 
-/// An event that does not fit the settings. Nothing of its batch has been acted on.
+/// Why an event is rejected. No event of its batch has been handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum EventError {
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! What the decision module is notified of.
+//! Events: notifications to the decision module.
 
 use super::{EventError, Micros, Request, RequestId, Settings, SettingsChange};
 
@@ -23,7 +23,7 @@
     Reset,
     /// The run was stopped, or ended at a call as its request had been answered.
     Cancelled,
-    /// Nothing was started.
+    /// The run or call was never started.
     Moot,
 }
 
@@ -52,7 +52,7 @@
 pub enum Event {
     /// A request was read.
     Arrived(Request),
-    /// The caller of this request waits no longer.
+    /// The caller of this request no longer waits for an answer.
     Cancelled(RequestId),
     /// The server drains; the process is stopped at the given time.
     Drain(Micros),
--- a/src/interface/indexed.rs
+++ b/src/interface/indexed.rs
@@ -11,13 +11,13 @@
 
 /// An entry of an [`IndexedList`].
 pub trait IndexedEntry: Sized {
-    /// What is computed from the complete list, once for each version of it.
+    /// Values computed from the complete list, once for each version of it.
     type Summary;
 
-    /// The name that it is found by.
+    /// The name by which the entry is found.
     fn name(&self) -> &str;
 
-    /// Whether it is found by its name.
+    /// Whether the entry can be found by its name.
     fn is_findable(&self) -> bool {
         true
     }
@@ -35,7 +35,7 @@
 }
 
 struct Index<S> {
-    /// Positions of the findable entries, sorted by name; of one name the first comes first.
+    /// Positions of the findable entries, sorted by name; entries of the same name keep the order of the list.
     by_name: Box<[u32]>,
     summary: S,
 }
@@ -156,14 +156,15 @@
     }
 }
 
-/// What is computed from all classes.
+/// Values computed from all classes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassSummary {
     /// Sum of the latency objectives of the classes that are not retired, s.
     pub latency_objectives_s: f64,
     /// The longest deadline of any class.
     pub longest_deadline: Micros,
-    /// For each class how many have a lower priority weight; of equal weight those before it count.
+    /// For each class, the number of classes with a lower priority weight. Of classes with equal weight, those earlier
+    /// in the list count as lower.
     pub lower_weight_counts: Box<[u32]>,
 }
 
--- a/src/interface/request.rs
+++ b/src/interface/request.rs
@@ -9,29 +9,29 @@
 /// A request that has been read and is queued.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// This attempt.
+    /// Identifies this attempt.
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// Its tenant, where there are any.
+    /// Its tenant, if tenants are configured.
     pub tenant: Option<TenantId>,
-    /// Whether it exceeds its tenant's quota over all servers, where that is counted.
+    /// Whether it exceeds its tenant's quota over all servers, if quotas are counted.
     pub is_over_quota: bool,
-    /// Whether it has a key: what a read is about, or an idempotency key.
+    /// Whether it has a key: the subject of a read, or the idempotency key of a write.
     pub has_key: bool,
-    /// When its caller stops waiting, where the caller says.
+    /// When its caller stops waiting, if the caller has sent that.
     pub due: Option<Micros>,
-    /// Expected work on a standard core, where the caller gives a hint.
+    /// Expected work on a standard core, if the caller has sent a hint.
     pub expected_work: Option<Micros>,
-    /// Kilobytes of memory while it is queued.
+    /// Memory that it uses while queued, kilobytes.
     pub held_kb: f64,
-    /// Position by priority weight, 0 to under 1.
+    /// Rank by priority weight, from 0 up to but excluding 1.
     pub rank: f64,
     /// Whether it is marked as a further attempt or a second copy.
     pub is_retry: bool,
     /// Whether it is a write.
     pub is_write: bool,
-    /// The caller's number.
+    /// Number that identifies the caller.
     pub caller: u32,
     /// Time from when it reached the machine until it was read.
     pub unread_time: Micros,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -2,7 +2,7 @@
 
 use super::{IndexedList, Micros, SettingsError};
 
-/// The most classes in force. When all change at once, as many again need slots.
+/// Most active classes. When all of them change at once, the new ones need as many slots again.
 pub const CLASSES_MAX: usize = 20_000;
 
 /// Index of a class in [`Settings::classes`].
@@ -13,10 +13,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// What running a request twice does.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat.
+    /// May run any number of times.
     #[default]
     Retryable,
     /// Must run at most once within the class's window; retained keys link repeats.
@@ -28,19 +28,19 @@
 /// How a server can stop running work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StopMode {
-    /// It cannot.
+    /// Running work cannot be stopped.
     #[default]
     None,
-    /// Its progress is lost and it returns to the queue.
+    /// Stopped work loses its progress and returns to the queue.
     Discard,
-    /// It is paused, and keeps its progress and its memory.
+    /// Stopped work is paused, and keeps its progress and its memory.
     Freeze,
 }
 
 /// How callers read the value of [`super::Action::SetLoadSignal`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadSignal {
-    /// Unused.
+    /// Callers read no load signal.
     #[default]
     None,
     /// The minimum rank of requests that they send here.
@@ -51,10 +51,10 @@
     Weight,
 }
 
-/// What requests call while they run.
+/// The dependency that requests call while they run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Downstream {
-    /// Nothing.
+    /// Requests make no calls.
     #[default]
     Nothing,
     /// One dependency that all servers share.
@@ -78,7 +78,7 @@
     pub late_weight: f64,
     /// The value of one request, or of one unit of work.
     pub priority_weight: f64,
-    /// What running a request twice does.
+    /// Whether a request may run more than once.
     pub effect: Effect,
     /// For [`Effect::Dedup`]: how long after an arrival a repeat may come.
     pub window: Micros,
@@ -86,7 +86,8 @@
     pub may_call: bool,
     /// Fraction of the value that remains when a call is skipped; 0 forbids [`super::Action::SkipCall`].
     pub weight_without_call: f64,
-    /// The settings in force no longer have it. It gets no new requests; those that came under it keep it.
+    /// Whether the current settings no longer contain it. A retired class gets no new requests; its open requests keep
+    /// it.
     pub is_retired: bool,
 }
 
@@ -99,7 +100,7 @@
     pub quota_per_s: f64,
 }
 
-/// What a server is configured with.
+/// The configuration of one server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Cores of this server.
@@ -116,7 +117,7 @@
     pub tenants: IndexedList<TenantSettings>,
     /// Fraction of its value that a request beyond its tenant's quota has.
     pub over_quota_weight: f64,
-    /// Whether value counts per unit of work instead of per request.
+    /// Whether a class's weight applies per unit of work instead of per request.
     pub weighs_by_work: bool,
     /// Whether further attempts are marked as such.
     pub marks_retries: bool,
@@ -134,13 +135,13 @@
     pub load_signal: LoadSignal,
     /// How long a caller remembers the load signal.
     pub signal_lifetime: Micros,
-    /// What requests call while they run.
+    /// The dependency that requests call while they run.
     pub downstream: Downstream,
     /// This server's share of the calls that the shared dependency survives, as a mean number in progress.
     pub dependency_share: f64,
-    /// The window of that mean.
+    /// The window over which calls in progress are averaged for the dependency share.
     pub dependency_window: Micros,
-    /// How long a dependency may go on with an abandoned call.
+    /// How long a dependency may continue to work on an abandoned call.
     pub call_linger: Micros,
     /// How long the result of a read may be shared; zero for never.
     pub fresh_for: Micros,
@@ -152,31 +153,31 @@
     pub idle_max: Micros,
     /// Whether advice to retry later reaches clients.
     pub is_retry_after_sent: bool,
-    /// The longest such advice that clients observe.
+    /// The longest retry advice that clients observe.
     pub retry_after_max: Micros,
-    /// Grace after a due time within which an answer still counts.
+    /// Time after a due time within which an answer still counts.
     pub answer_slack: Micros,
     /// The least fraction of its full speed at which a cold server starts.
     pub cold_speed: f64,
-    /// How long it takes at the most until it has its full speed.
+    /// Longest time until a cold server has its full speed.
     pub warm_up_time: Micros,
     /// Requests that arrive later than this after the drain request must not run.
     pub drain_grace: Micros,
     /// Running requests on the cores, per core, that a warm server survives.
     pub max_runs_per_core: f64,
-    /// Window over which these are averaged.
+    /// Window over which running requests per core are averaged.
     pub runs_window: Micros,
     /// The least time between two batches of events.
     pub min_batch_gap: Micros,
 }
 
 impl Settings {
-    /// The classes that new requests may come under.
+    /// The classes that new requests may have.
     pub fn active_classes(&self) -> impl Iterator<Item = &ClassSettings> {
         self.classes.iter().filter(|c| !c.is_retired)
     }
 
-    /// How many classes new requests may come under.
+    /// The number of classes that new requests may have.
     pub fn active_class_count(&self) -> usize {
         self.classes.findable_count()
     }
@@ -186,7 +187,8 @@
         self.classes.summary().longest_deadline
     }
 
-    /// The middle of the ranks of a class's requests, 0 to 1. Ranks are equal parts in the order of priority weight.
+    /// The middle of the rank range of a class's requests, 0 to 1. All classes have rank ranges of equal width, in the
+    /// order of priority weight.
     pub fn rank(&self, class: ClassId) -> f64 {
         (f64::from(self.classes.summary().lower_weight_counts[class.0]) + 0.5) / self.classes.len() as f64
     }
@@ -201,13 +203,13 @@
         self.tenants.find(name).map(TenantId)
     }
 
-    /// Builds the indexes by which names are found, so that no request waits for them.
+    /// Builds the name indexes in advance, so that no request waits for them.
     pub fn build_indexes(&self) {
         self.classes.build_index();
         self.tenants.build_index();
     }
 
-    /// Checks that a server can have these settings: at least one core and one class, and no value out of range.
+    /// Checks that there is at least one core and one class, and that no value is out of range.
     ///
     /// # Errors
     /// The first invalid value, by name.
@@ -240,15 +242,16 @@
     }
 }
 
-/// A change to other settings. A class that changed gets another slot, so that requests in progress keep the settings
-/// that they came with.
+/// A change of settings at run time. A changed class gets a new slot, so that requests in progress keep the class
+/// settings with which they arrived.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsChange {
-    /// The settings, with every slot.
+    /// The new settings, including the slots of retired classes.
     pub settings: Settings,
-    /// New slots, each with the slot of the class's previous settings, whose measurements it starts with.
+    /// New slots, each with the slot of the class's previous settings. The new slot starts with the measurements of the
+    /// previous one.
     pub previous_classes: Vec<(ClassId, Option<ClassId>)>,
-    /// Slots that got new requests until now.
+    /// Slots that get no new requests from now on.
     pub retired: Vec<ClassId>,
 }
 
--- a/src/policy/arrivals.rs
+++ b/src/policy/arrivals.rs
@@ -1,13 +1,14 @@
-//! Requests that arrive: their place in the queue, what they repeat, and the keys retained for repeats.
+//! Arriving requests: queueing, links to the requests that they repeat, and keys retained for repeats.
 
 use super::{MEMORY_START, Policy, STOP_MARGIN, TICK_MS};
 use crate::interface::{Action, Effect, Micros, Request, RequestId};
 use crate::request_state::{RequestPhase, RequestState, update_mean};
 
-/// Callers that a cold server tells apart at the most: bounds the memory that callers can use.
+/// Most callers that a cold server counts individually; bounds the memory that callers can use.
 const MAX_CALLERS: usize = 1_024;
 
 impl Policy {
+    /// Queues a request that has just been read.
     pub(super) fn receive(&mut self, now: Micros, request: &Request) {
         if self.requests.contains_key(&request.id) {
             return;
@@ -32,13 +33,13 @@
         self.reviews.schedule(request.id, now);
     }
 
-    /// Decides what a new request is to those it repeats, and whether it may be queued at all.
+    /// Decides whether a new request stays queued, joins the request that it repeats, or is answered at once.
     pub(super) fn link(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.phase != RequestPhase::Queued || request.is_answered {
             return;
         }
-        // What arrived too long after the drain request never runs.
+        // Requests that arrive after the grace of the drain never run.
         let grace = self.settings.drain_grace;
         if self.drain_requested.is_some_and(|requested| request.arrived >= requested + grace) {
             return self.refuse(id, false, out);
@@ -47,7 +48,8 @@
         if let Some(first) = request.repeats.filter(|first| *first != id) {
             match (effect, self.requests.get(&first).map(|first| first.phase)) {
                 (Effect::Dedup, Some(RequestPhase::Queued)) => {
-                    // Neither has run: the newer attempt replaces the older one, whose caller has left it.
+                    // Neither has run: the newer attempt replaces the older one, for which the caller no
+                    // longer waits.
                     self.refuse(first, true, out);
                 }
                 (Effect::Dedup, None) if self.keyed_outcomes.get(&first) == Some(&false) => {
@@ -87,6 +89,7 @@
         }
     }
 
+    /// Answers a request with the outcome of `first`, the request that it repeats.
     pub(super) fn join(&mut self, id: RequestId, first: RequestId, out: &mut Vec<Action>) {
         self.leave_queue(id);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -99,9 +102,11 @@
         self.reviews.schedule(id, Micros(0));
     }
 
+    /// Retains the key of a request for `span`.
     pub(super) fn retain_key(&mut self, now: Micros, id: RequestId, span: Micros, out: &mut Vec<Action>) {
         out.push(Action::RetainKey(id, span));
-        // Counted here for two batches longer than retained, so that memory is never underestimated.
+        // The entry counts towards memory for two batch gaps longer than it is retained, so that memory use
+        // is never underestimated.
         self.retained_keys.insert(id, now + span + Micros(2 * self.settings.min_batch_gap.0));
     }
 
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -1,54 +1,63 @@
-//! The limit N on starts: its update by the paper, and the occupancy and starts that it follows.
+//! The start limit N: at most N requests start in each control period.
+//!
+//! N is updated from the measured core occupancy and the number of starts, by a published algorithm for
+//! overload control. Names such as `max.occup` are the names of its parameters. Some values differ from the
+//! published ones; the reason is given with each.
 
 use crate::interface::Micros;
 
-// "Paper's" values are the paper's own; "ours" are open in the design.
-/// Call Control Period, s (ours): as short as rounding N down allows, so that a used up N is soon renewed.
+/// Call Control Period, s. Kept short so that a used up N is soon renewed; a shorter period would lose too
+/// much to rounding N down.
 const CONTROL_PERIOD_S: f64 = 1.0;
-/// Control periods in one update interval OPPUI (ours): a gauge of half a second needs a few.
+/// Control periods in one update interval (OPPUI). The busy gauge covers half a second, so an interval needs
+/// a few samples of it.
 const PERIODS_PER_INTERVAL: u32 = 2;
-/// Entries of the start program in a period (ours); max.calls.per.entry is N's even part of one.
+/// Entries of the start program in a control period. Each entry may start an equal part of N
+/// (max.calls.per.entry).
 const ENTRIES_PER_PERIOD: f64 = 10.0;
-/// max.occup, busy share (ours): the bound on runs absorbs peaks, so the margin can be thinner than 0.95.
+/// max.occup, busy fraction. Above the 0.95 of the algorithm because the bound on concurrent runs absorbs
+/// peaks.
 const MAX_OCCUPANCY: f64 = 0.97;
-/// occ.too.high, busy share (ours), as close above max.occup as the paper's.
+/// occ.too.high, busy fraction. Its distance above max.occup is that of the published values.
 const EXCESSIVE_OCCUPANCY: f64 = 0.99;
-/// addl.decrement, fraction (ours): half the paper's, as intervals are shorter.
+/// addl.decrement, fraction. Half the published value because update intervals are shorter here.
 const ADDITIONAL_DECREMENT: f64 = 0.05;
-/// max.increase, fraction (paper's default on the design page).
+/// max.increase, fraction (the published default).
 const MAX_INCREASE: f64 = 0.1;
-/// max.decrease, requests (paper's): an absolute step.
+/// max.decrease, requests: an absolute step (the published value).
 const MAX_DECREASE: f64 = 1.0;
-/// min.occup, busy share (ours; the paper has 0.75): reading alone can use that, and N must not bind then.
+/// min.occup, busy fraction. Above the published 0.75 because reading alone can use that much, and N must not
+/// delay starts then.
 const MIN_OCCUPANCY: f64 = 0.92;
-/// min.fraction.calls, fraction of N (paper's).
+/// min.fraction.calls, fraction of N (the published value).
 const MIN_FRACTION_STARTED: f64 = 0.75;
-/// Least occupancy above overhead that the ratio may divide by (design page).
+/// Least difference of occupancy and overhead by which the update divides; a smaller one makes the ratio
+/// unreliable.
 const MIN_SPREAD: f64 = 0.05;
 
-/// What one update interval measured.
+/// Measurements of one update interval.
 #[derive(Clone, Copy, Debug)]
 pub struct Interval {
-    /// Mean busy share of the cores, 0 to 1.
+    /// Mean busy fraction of the cores, 0 to 1.
     pub occupancy: f64,
-    /// Busy share at light load.
+    /// Busy fraction at light load, 0 to 1.
     pub overhead: f64,
     /// Mean starts per control period.
     pub starts: f64,
     /// The limit during the interval; `None` before the first update.
     pub limit: Option<u32>,
-    /// Whether the limit delayed a request.
+    /// Whether the limit delayed a start.
     pub was_limited: bool,
 }
 
-/// The limit for the next interval, by the paper's section 2; at least 1, or `None` for no limit.
+/// The limit for the next interval by section 2 of the algorithm: at least 1, or `None` for no limit.
 pub fn next_start_limit(interval: Interval) -> Option<u32> {
     let Interval { occupancy, overhead, starts, .. } = interval;
     let round_down = |limit: f64| Some((limit + 1e-9).floor().clamp(1.0, 1e9) as u32);
     let spread = occupancy - overhead;
     let preliminary = (MAX_OCCUPANCY - overhead).max(0.0) / spread * starts;
     let Some(previous) = interval.limit else {
-        // No limit until an interval says something about the ratio.
+        // There is no limit until an interval is busy enough to determine the ratio.
         let is_inconclusive = spread < MIN_SPREAD || starts <= 0.0 || occupancy < MIN_OCCUPANCY;
         return if is_inconclusive { None } else { round_down(preliminary) };
     };
@@ -56,7 +65,7 @@
     if occupancy < MIN_OCCUPANCY && starts < MIN_FRACTION_STARTED * previous {
         return interval.limit;
     }
-    // The most that N may rise to; by one request where the fraction would be less than that.
+    // N rises by the fraction at most, or by one request where the fraction is less than one request.
     let is_step_small = MAX_INCREASE * previous < 1.0;
     let highest = if is_step_small { previous + 1.0 } else { previous * (1.0 + MAX_INCREASE) };
     if spread < MIN_SPREAD {
@@ -72,7 +81,7 @@
     round_down(preliminary.clamp(lowest, highest))
 }
 
-/// The limit, the starts that it bounds in a control period, and the occupancy that it follows.
+/// Applies the start limit N to the current control period and updates it after each interval.
 #[derive(Default)]
 pub(super) struct CapacityController {
     pub limit: Option<u32>,
@@ -81,7 +90,7 @@
     periods: u32,
     starts_in_interval: u32,
     was_limited: bool,
-    /// The latest busy share of the cores.
+    /// The latest busy fraction of the cores, 0 to 1.
     pub busy: f64,
     busy_sum: f64,
     busy_samples: u32,
@@ -93,7 +102,7 @@
         CapacityController { limit, ..CapacityController::default() }
     }
 
-    /// Ends the period and the interval that have passed.
+    /// Ends the control period, and the update interval, if they are over.
     pub(super) fn advance(&mut self, now: Micros) {
         if (now - self.period_start).as_secs_f64() < CONTROL_PERIOD_S {
             return;
@@ -114,7 +123,7 @@
         }
     }
 
-    /// Whether one more may start in this entry. The limit binds only above min.occup.
+    /// Whether one more request may start in the current entry. The limit applies only above min.occup.
     pub(super) fn allows_start(&mut self, now: Micros) -> bool {
         let Some(limit) = self.limit else { return true };
         let elapsed = (now - self.period_start).as_secs_f64();
@@ -130,12 +139,13 @@
         self.starts_in_interval += 1;
     }
 
-    /// Records the busy share of the cores. The least one at light load is the overhead.
+    /// Records the busy fraction of the cores. The lowest one at light load is the overhead.
     pub(super) fn record_busy(&mut self, busy: f64, has_runs: bool) {
         self.busy = busy;
         self.busy_sum += busy;
         self.busy_samples += 1;
-        // Light load: nothing has been started for a complete gauge window.
+        // Light load: no request runs, and none has started for at least one control period, which is longer
+        // than the window of the gauge.
         if !has_runs && self.starts_in_interval == 0 && self.periods > 0 {
             self.overhead = if self.overhead > 0.0 { self.overhead.min(busy) } else { busy };
         }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,18 +1,19 @@
-//! What starts next, as far as the limit N, the cores, the runs survived and memory allow.
+//! Selects the requests that start next, within the start limit N, the cores, the survivable runs and memory.
 
 use super::{MEMORY_START, Policy};
 use crate::interface::{Action, Effect, Micros, Outcome, RequestId, StopMode};
 use crate::request_state::{ORDERS, RequestPhase, update_mean};
 
-/// Running requests on the cores, per core: batches follow so closely that more would only share cores.
+/// Running requests per core. Batches of events follow each other so closely that a core is never idle for
+/// long, and more runs would only share cores.
 pub(super) const RUNS_PER_CORE: f64 = 1.0;
-/// Running requests per core that reading cannot displace: part of the cores goes on serving.
+/// Running requests per core that reading cannot displace, so that part of the cores always serves.
 const MIN_RUNS_PER_CORE: f64 = 0.3;
-/// Part of the survivable runs that may be begun.
+/// Fraction of the survivable runs that may be begun at a time.
 const SURVIVABLE_USE: f64 = 0.75;
 
 impl Policy {
-    /// Fraction of full speed that the server is sure to have.
+    /// Lower bound of the server's speed, as a fraction of its full speed.
     pub(super) fn speed(&self, now: Micros) -> f64 {
         let settings = &self.settings;
         if !settings.is_cold || settings.warm_up_time.0 == 0 {
@@ -23,7 +24,7 @@
         settings.cold_speed + (1.0 - settings.cold_speed) * part
     }
 
-    /// Takes a request off the cores, ahead of the next gauge.
+    /// Removes a request from the running ones, without waiting for the next gauge.
     pub(super) fn leave_cores(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if self.running.remove(&(request.order, id)) {
@@ -31,6 +32,7 @@
         }
     }
 
+    /// Adds a request to the running ones, without waiting for the next gauge.
     pub(super) fn enter_cores(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.phase = RequestPhase::Running;
@@ -38,49 +40,51 @@
         self.on_cores = self.on_cores.map(|count| count + 1.0);
     }
 
-    /// Whether the cores take one more. Requests that wait for a disk are not on them, as the gauge shows.
+    /// Whether one more request may run. The gauge does not count runs that wait for a disk.
     fn has_free_core(&self) -> bool {
         let cores = f64::from(self.settings.cores);
         let running = self.running.len() as f64;
-        // Reading counts once MIN_RUNS_PER_CORE run: many reads and runs together would slow each other down,
-        // and reading would fall behind.
+        // Tasks that read requests count once MIN_RUNS_PER_CORE run. Many reads and runs at once would slow
+        // each other down, and reading would fall behind.
         let has_enough_runs = running >= cores * MIN_RUNS_PER_CORE;
         let in_use =
             self.on_cores.map_or(running, |count| if has_enough_runs { count } else { count.min(running) });
         in_use < cores * RUNS_PER_CORE
     }
 
-    /// Requests on the cores that the server survives now.
+    /// Most running requests that the server can sustain at its present speed.
     pub(super) fn survivable_runs(&self, now: Micros) -> f64 {
         let above_one = (self.settings.max_runs_per_core - 1.0).max(0.0) * self.speed(now);
         (1.0 + above_one) * f64::from(self.settings.cores)
     }
 
-    /// Whether one more survivable run may begin: all that has begun counts, as it may all return at once.
+    /// Whether one more run may begin. Paused requests and those that wait for calls count too, as all of
+    /// them may return to the cores at once.
     fn may_begin_run(&self, now: Micros) -> bool {
         self.begun as f64 + 1.0 <= (self.survivable_runs(now) * SURVIVABLE_USE).max(1.0)
     }
 
-    /// Whether one order is so much higher than another as to come from a better class, or nearly so.
+    /// Whether `order` is higher than `other` by at least the width of one class's rank range.
     fn outranks(&self, order: i64, other: i64) -> bool {
         (order - other) as f64 >= ORDERS / self.settings.active_class_count() as f64
     }
 
-    /// Running work to pause for a queued request of this order, where work can be paused. Lets urgent work
-    /// past long work of low value on few cores; costs memory where much work is paused.
+    /// The running request to pause for a queued request of this order, if work can be paused. This lets
+    /// urgent work overtake long work of low value on few cores, at the cost of memory for paused work.
     fn preemptible(&self, order: i64) -> Option<RequestId> {
         let lowest = *self.running.first().filter(|_| self.settings.stop_mode == StopMode::Freeze)?;
         let class = &self.settings.classes[self.requests.get(&lowest.1)?.class];
         (class.effect == Effect::Retryable && self.outranks(order, lowest.0)).then_some(lowest.1)
     }
 
-    /// Order above which a request that may call can start: those below it would only wait for their calls.
+    /// The order that a request which may call must exceed to start. Lower ones would only wait for their
+    /// calls.
     fn min_calling_order(&self) -> i64 {
         let limit = self.call_limit().max(1.0) as usize;
         self.awaiting_call.iter().rev().nth(limit - 1).map_or(i64::MIN, |waiting| waiting.0)
     }
 
-    /// The queued request to start next, if survivable runs, calls and memory allow one.
+    /// The queued request to start next, if survivable runs, the call limit and memory allow one.
     fn next_queued(&self, now: Micros) -> Option<(i64, RequestId)> {
         let highest = self.queue.highest(self.min_calling_order());
         let (order, id) = highest.filter(|_| self.may_begin_run(now))?;
@@ -119,6 +123,7 @@
         }
     }
 
+    /// Starts a queued request; requests that wait for it join it.
     fn begin_run(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         self.leave_queue(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -140,6 +145,7 @@
         }
     }
 
+    /// Handles the end of a run, or of the wait of a joined request.
     pub(super) fn run_ended(
         &mut self,
         now: Micros,
@@ -167,7 +173,7 @@
         self.remove(id);
     }
 
-    /// Records what a run that has ended says about its class and its key.
+    /// Records the duration of a run for its class and the outcome for its key.
     fn record_run(
         &mut self,
         now: Micros,
--- a/src/policy/downstream_calls.rs
+++ b/src/policy/downstream_calls.rs
@@ -1,24 +1,25 @@
-//! Calls to dependencies: how many may be in progress, and when one is placed, given up or made again.
+//! Calls to dependencies: how many may be in progress, and when a call is placed, abandoned or repeated.
 
 use super::Policy;
 use crate::interface::{Action, Downstream, Effect, Micros, Outcome, RequestId};
 use crate::request_state::{RequestPhase, RequestState};
 
-/// Calls in progress per core, where no share of the dependency is known.
+/// Calls in progress per core if the server's share of the dependency is unknown.
 const CALLS_PER_CORE: f64 = 4.0;
-/// Part of the dependency share that is used, as a dependency slows well before it fails; what is added for
-/// each root of that, as more of a small share lies idle by chance; and the most.
+/// Fraction of the dependency share that is used on average: a dependency slows well before it fails.
 const DEPENDENCY_USE: f64 = 0.2;
+/// Added to that mean, in multiples of its square root: more of a small share lies idle by chance.
 const DEPENDENCY_SPREAD: f64 = 0.3;
+/// Largest fraction of the dependency share that is used.
 const DEPENDENCY_MAX_USE: f64 = 0.5;
-/// Where calls go unanswered, one that may be repeated is given up after this multiple of the slowest recent
-/// good call, doubled with each failure. Elsewhere that would discard slow answers.
+/// While calls go unanswered, a repeatable call is abandoned after this multiple of the slowest recent
+/// successful call, doubled with each failure. At other times a timeout would discard slow answers.
 const CALL_TIMEOUT: f64 = 2.0;
-/// A request fails when more calls than this have failed.
+/// A request fails when more of its calls than this have failed.
 const MAX_FAILED_CALLS: u32 = 3;
 
 impl Policy {
-    /// How many calls may be in progress: this server's part of what the shared dependency survives.
+    /// How many calls may be in progress: this server's part of the load that the shared dependency survives.
     pub(super) fn call_limit(&self) -> f64 {
         let share = self.settings.dependency_share;
         if self.settings.downstream == Downstream::Shared && share > 0.0 {
@@ -29,6 +30,7 @@
         }
     }
 
+    /// Handles a running request that waits for its call to be placed.
     pub(super) fn call_requested(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if matches!(request.phase, RequestPhase::Running | RequestPhase::Pausing) {
@@ -40,7 +42,7 @@
         }
     }
 
-    /// When a call is given up: with its request, or earlier where calls go unanswered.
+    /// When a call is abandoned: at the due time of its request, or earlier while calls go unanswered.
     fn call_deadline(&self, now: Micros, request: &RequestState) -> Micros {
         let doubling = f64::from(1 << request.failed_calls.min(4));
         let timeout = self.expected.slowest_call[request.class] * CALL_TIMEOUT * doubling;
@@ -49,11 +51,12 @@
         if is_timed { request.due.min(now + Micros::from_secs_f64(timeout)) } else { request.due }
     }
 
+    /// Places waiting calls within the call limit, highest order first.
     pub(super) fn place_calls(&mut self, now: Micros, out: &mut Vec<Action>) {
         let limit = self.call_limit();
         while let Some(&(order, id)) = self.awaiting_call.last() {
             let calls = self.calls.count();
-            // The fraction of the limit below one call is kept as a mean over the dependency's window.
+            // A limit that is not a whole number is kept as a mean over the dependency's window.
             if calls >= limit.ceil() || (calls >= limit.floor() && self.calls.mean > limit) {
                 return;
             }
@@ -66,6 +69,7 @@
         }
     }
 
+    /// Handles the end of a call: the request continues, repeats the call or fails.
     pub(super) fn call_ended(
         &mut self,
         now: Micros,
--- a/src/policy/load_signal.rs
+++ b/src/policy/load_signal.rs
@@ -1,26 +1,30 @@
-//! What is measured at each timer, and the load signal that asks callers to send less.
+//! Gauges read at each timer, and the load signal that asks callers to send less.
 
 use super::dispatch::RUNS_PER_CORE;
 use super::{Policy, TICK_MS};
 use crate::interface::{Action, Gauges, LoadSignal, Micros, TimerToken};
 
-/// Part of its latency objective a class may wait in the queue, on average, before callers are to send less.
+/// Mean queueing time, as a fraction of a class's latency objective, above which callers are to send less.
 const QUEUE_PART: f64 = 0.3;
-/// Least allowance, requests over all callers: enough to notice that pressure has gone.
+/// Least allowance, requests over all callers: enough to notice that the pressure has ended.
 const MIN_ALLOWANCE: f64 = 1.0;
 /// Seconds between changes of the load signal.
 const SIGNAL_PERIOD_S: f64 = 0.2;
-/// Ranks by which the minimum rank rises for each unit of pressure, slowly as callers lag, and falls without.
+/// Rise of the minimum rank per unit of pressure and signal period. Slow, because callers react late.
 const RANK_RISE: f64 = 0.015;
+/// Fall of the minimum rank per signal period without any pressure.
 const RANK_FALL: f64 = 0.04;
-/// Open connections per core above which idle ones are closed, and after how long without traffic.
+/// Open connections per core above which idle ones are closed.
 const CONNECTIONS_PER_CORE: f64 = 8.0;
+/// How long a connection must have been without traffic to be closed then.
 const CONNECTION_IDLE: Micros = Micros::from_millis(3_000);
-/// Overload is logged above this pressure, at the most once in this many seconds.
+/// Overload is logged above this pressure.
 const LOGGED_PRESSURE: f64 = 2.0;
+/// Least time between two logs of overload, seconds.
 const LOG_PERIOD_S: f64 = 5.0;
 
 impl Policy {
+    /// Records the gauges, updates the load signal when it is due, and requests the next timer.
     pub(super) fn handle_timer(&mut self, now: Micros, gauges: &Gauges, out: &mut Vec<Action>) {
         out.push(Action::Timer(TimerToken(0), Micros::from_millis(TICK_MS)));
         self.on_cores = gauges.on_cores;
@@ -29,7 +33,8 @@
         }
         if (now - self.load_signal_at).as_secs_f64() >= SIGNAL_PERIOD_S {
             self.load_signal_at = now;
-            // Idle connections use capacity and can keep callers out; the price of closing is new handshakes.
+            // Idle connections use up the connection limit and can exclude callers; closing them costs new
+            // handshakes.
             let max_connections = CONNECTIONS_PER_CORE * f64::from(self.settings.cores);
             if gauges.connections.is_some_and(|open| open > max_connections) {
                 out.push(Action::CloseIdleConnections(CONNECTION_IDLE.min(self.settings.idle_max)));
@@ -38,15 +43,15 @@
         }
     }
 
-    /// Time that the queue needs to drain, s.
+    /// Expected time to run everything queued, s.
     pub(super) fn queue_time_s(&self) -> f64 {
         let slots = f64::from(self.settings.cores).max(self.begun as f64);
         self.queue.len() as f64 * self.expected.run / slots
     }
 
-    /// Sets the load signal so that the queue stays short: what is not sent costs no reading.
+    /// Sets the load signal so that the queue stays short; requests that are not sent cost no reading.
     pub(super) fn update_load_signal(&mut self, now: Micros, out: &mut Vec<Action>) {
-        // Time spent unread shows a slow or hung machine, or many retries at once.
+        // Time spent unread reveals a slow or hung machine, or many retries at once.
         let classes = self.settings.active_class_count() as f64;
         let target_s = QUEUE_PART * self.settings.classes.summary().latency_objectives_s / classes;
         let pressure = (self.queue_time_s() + self.mean_unread_s) / target_s.max(1e-3);
@@ -62,12 +67,12 @@
         }
         if pressure > LOGGED_PRESSURE && (now - self.overload_logged).as_secs_f64() > LOG_PERIOD_S {
             self.overload_logged = now;
-            out.push(Action::Log(self.overload_line()));
+            out.push(Action::Log(self.overload_message()));
         }
     }
 
     fn next_minimum_rank(&self, pressure: f64, target_s: f64, classes: f64) -> f64 {
-        // The best class is excluded only where even reading does not keep up.
+        // The highest class is excluded only while even reading does not keep up.
         let highest = if self.mean_unread_s > target_s { 1.0 } else { 1.0 - 1.0 / classes };
         let rise = RANK_RISE * pressure.min(3.0);
         let step = if pressure > 1.0 { rise } else { RANK_FALL * (pressure - 1.0) };
@@ -84,14 +89,15 @@
         next.clamp(MIN_ALLOWANCE / callers, initial.max(all_runs)).min(self.cold_allowance(now))
     }
 
-    /// The most that a cold server allows each caller: all together may send what it survives now. Callers
-    /// since the start have parts too. A warm server is protected by its pressure instead.
+    /// The largest allowance of each caller of a cold server: all callers together, including those seen
+    /// since the start, may send as much as the server survives now. A warm server is protected by its
+    /// pressure instead.
     fn cold_allowance(&self, now: Micros) -> f64 {
         let callers = self.callers.len().max(self.settings.callers as usize).max(1) as f64;
         if self.speed(now) < 1.0 { self.survivable_runs(now) / callers } else { f64::INFINITY }
     }
 
-    fn overload_line(&self) -> String {
+    fn overload_message(&self) -> String {
         let (limit, busy, queued) = (self.capacity.limit, self.capacity.busy, self.queue.len());
         let work = format!("N {limit:?}, {queued} queued, {} begun, busy {busy:.2}", self.begun);
         let (unread_s, signal) = (self.mean_unread_s, self.load_signal);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,6 +1,7 @@
-//! Every decision of holdlift for one server: a state machine that is fed events and the time.
+//! The overload-control decisions of one server, as a state machine driven by events and their times.
 //!
-//! It reads no clock, draws no random number and does no I/O. Its memory is in [`crate::request_state`].
+//! It reads no clock, draws no random numbers and does no I/O. The state that it keeps about requests is
+//! defined in [`crate::request_state`].
 
 mod answers;
 mod arrivals;
@@ -23,14 +24,14 @@
 use capacity::CapacityController;
 pub use capacity::{Interval, next_start_limit};
 
-/// Period of the housekeeping timer, ms (ours): a quarter of the tightest answer slack seen in practice.
+/// Period of the housekeeping timer, ms: a quarter of the tightest answer slack seen in practice.
 const TICK_MS: u64 = 15;
-/// Everything is answered this long before the process is stopped (ours).
+/// Every request is answered this long before the process is stopped.
 const STOP_MARGIN: Micros = Micros::from_millis(4 * TICK_MS);
-/// Part of memory beyond which nothing starts (ours).
+/// Fraction of memory in use above which no request starts.
 const MEMORY_START: f64 = 0.85;
 
-/// The decision module of one server: feed it every event, carry out every action.
+/// The decision module of one server. The caller passes it every event and carries out every action.
 #[derive(Default)]
 pub struct Policy {
     settings: Settings,
@@ -39,7 +40,7 @@
     requests: BTreeMap<RequestId, RequestState>,
     queue: RequestQueue,
     reviews: ReviewSchedule,
-    /// Outcomes of keyed work until its window has passed: `true` for good or still running.
+    /// Outcomes of keyed work until its window has passed: `true` if it succeeded or still runs.
     keyed_outcomes: BTreeMap<RequestId, bool>,
     retained_keys: RetainedKeys,
     requests_kb: f64,
@@ -49,24 +50,24 @@
     paused: BTreeSet<(i64, RequestId)>,
     /// Requests that have started and not ended.
     begun: usize,
-    /// Tasks on the cores: the latest gauge, adjusted for later starts and ends.
+    /// Tasks on the cores: the latest gauge, adjusted for runs that started or ended since.
     on_cores: Option<f64>,
     /// Requests whose call waits to be placed, lowest order first.
     awaiting_call: BTreeSet<(i64, RequestId)>,
     calls: DependencyCalls,
     last_step: Micros,
     expected: ExpectedDurations,
-    /// Not a number until the first is set.
+    /// The load signal that callers read; not a number until the first is set.
     load_signal: f64,
     load_signal_at: Micros,
-    /// Mean time that requests waited unread, s.
+    /// Running mean of the time that requests waited unread, s.
     mean_unread_s: f64,
-    /// Share of requests refused, of those recently started or refused.
+    /// Fraction refused of the requests that were recently started or refused.
     refused_share: f64,
-    /// Refusals that may be retried elsewhere; one whole unit is spent on each.
+    /// Accumulated permission to retry refused requests elsewhere; each such refusal uses one unit.
     elsewhere_credit: f64,
     drain_requested: Option<Micros>,
-    /// When the process is stopped, as it drains or has been replaced.
+    /// When the process is stopped, if it drains or has been replaced.
     stop_at: Option<Micros>,
     overload_logged: Micros,
     /// Callers seen while the server was cold.
@@ -74,13 +75,13 @@
 }
 
 impl Policy {
-    /// A fresh instance that knows only its settings. Nothing random is drawn, so the seed changes nothing.
+    /// A new instance that has seen no events. It draws no random numbers, so the seed has no effect.
     ///
     /// # Errors
     /// The settings are invalid.
     pub fn new(settings: Settings, _seed: u64) -> Result<Policy, SettingsError> {
         settings.validate()?;
-        // Cold starts reset N low, as the paper does on reload.
+        // A cold start sets the start limit low, as the algorithm does after a reload.
         let cold_limit = (f64::from(settings.cores) * settings.cold_speed).ceil().max(1.0) as u32;
         let limit = settings.is_cold.then_some(cold_limit);
         Ok(Policy {
@@ -92,11 +93,11 @@
         })
     }
 
-    /// Takes in a batch of events of one time and appends the actions they call for. Call it once with no
-    /// events right after the start. Unknown and finished requests are ignored.
+    /// Handles a batch of events of one time and appends the resulting actions to `out`. Call it once with no
+    /// events right after the start. Events about unknown and finished requests are ignored.
     ///
     /// # Errors
-    /// An event does not fit the settings; nothing of the batch has been acted on then.
+    /// An event does not fit the settings. No event of the batch has been handled then.
     pub fn step(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) -> Result<(), EventError> {
         for event in events {
             event.validate(&self.settings)?;
@@ -105,7 +106,7 @@
             self.begin(now, out);
         }
         self.expire(now);
-        // Both attempts of one request may come in one batch: all are taken in before any is linked.
+        // Two attempts of one request may arrive in one batch, so all are queued before any is linked.
         let mut arrived = Vec::new();
         for event in events {
             match event {
@@ -146,12 +147,14 @@
         }
     }
 
-    /// Applies other settings. Measurements and requests remain: a class that has changed has another slot.
+    /// Applies new settings. Measurements and requests remain valid because a changed class gets another
+    /// slot.
     fn apply_settings(&mut self, change: &SettingsChange) {
         self.settings = change.settings.clone();
         self.expected.apply_settings(&self.settings, &change.previous_classes);
     }
 
+    /// Advances the means and removes retained keys that have ended.
     fn expire(&mut self, now: Micros) {
         self.calls.advance(now, now - self.last_step, self.settings.dependency_window);
         self.last_step = now;
--- a/src/policy/reviews.rs
+++ b/src/policy/reviews.rs
@@ -1,22 +1,26 @@
-//! Reviews of requests: what is due is answered, and what can no longer be served is dropped.
+//! Reviews of requests: requests that are due are answered, and those that can no longer be served are
+//! dropped.
 
 use super::{Policy, TICK_MS};
 use crate::interface::{Action, Effect, Micros, RequestId, StopMode};
 use crate::request_state::{RequestPhase, RequestState};
 
-/// Part of the expected run that must fit into the time left, on idle cores and on busy ones. A first attempt
-/// refused early may be served elsewhere, so it is let in only where nine runs in ten would end in time. A
-/// further attempt is mostly lost if refused: it is let in where it is more likely in time than not.
+/// Multiple of the expected run that must fit into the time left, on idle cores.
 const FIT_IDLE: f64 = 0.3;
+/// The same for a first attempt on busy cores. A first attempt that is refused early may be served elsewhere,
+/// so it is admitted only if nine runs in ten would end in time.
 const FIT_BUSY: f64 = 2.4;
+/// The same for a further attempt on busy cores. It is mostly lost if refused, so it is admitted if it is
+/// more likely than not to end in time.
 const FIT_BUSY_RETRY: f64 = 1.2;
-/// Fraction of its time that a request waits in the queue before it may be refused as hopeless.
+/// Fraction of the time from arrival to due time that a request waits in the queue before it may be refused
+/// as hopeless.
 const MIN_WAIT: f64 = 0.05;
-/// Part of memory beyond which queued requests are refused.
+/// Fraction of memory in use above which queued requests are refused.
 const MEMORY_QUEUE: f64 = 0.93;
 
 impl Policy {
-    /// The last time at which an answer is worth anything.
+    /// The last time at which an answer has any value.
     fn useful_until(&self, request: &RequestState) -> Micros {
         let class = &self.settings.classes[request.class];
         let is_late_useful = class.late_weight > 0.0;
@@ -48,7 +52,7 @@
         self.reviews.schedule(id, next.max(now + Micros(1)));
     }
 
-    /// Fails a request that is due, or work without value that can be stopped.
+    /// Fails a request that is due, or one whose answer has lost its value and whose work can be stopped.
     fn review_begun(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let useful = self.useful_until(request);
@@ -63,7 +67,8 @@
         self.reviews.schedule(id, next.max(now + Micros(1)));
     }
 
-    /// Refuses, lowest rank first, what has waited and cannot start in time, and what memory cannot hold.
+    /// Refuses, lowest rank first, requests that have waited and cannot start in time, and requests for which
+    /// memory does not suffice.
     pub(super) fn shed_queue(&mut self, now: Micros, out: &mut Vec<Action>) {
         while let Some(id) = self.queue.lowest() {
             let Some(request) = self.requests.get(&id) else { break };
--- a/src/request_state.rs
+++ b/src/request_state.rs
@@ -1,6 +1,6 @@
-//! What the decision module ([`crate::policy`]) remembers: requests, their queue, retained keys and measured times.
+//! State of the decision module ([`crate::policy`]): requests, their queue, retained keys and measured durations.
 //!
-//! Bookkeeping only; no decision is taken here.
+//! This module only keeps records; decisions are made in [`crate::policy`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,9 +10,9 @@
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// Fraction of a maximum or a count that remains after each new sample: half after some 700 samples.
 const DECAY: f64 = 0.999;
-/// A call that takes longer than this multiple of the slowest good call counts as never answered.
+/// A call that takes longer than this multiple of the slowest successful call counts as never answered.
 const NEVER_ANSWERED: f64 = 3.0;
-/// Steps of the order within the ranks 0 to 1.
+/// Number of steps of a request's integer order within the ranks 0 to 1.
 pub(crate) const ORDERS: f64 = 1e12;
 /// Expected duration of a run or a call before any has ended, as a fraction of the latency objective.
 const INITIAL_DURATION: f64 = 0.15;
@@ -32,11 +32,11 @@
     /// From the start to the end of a run, over all classes.
     pub run: f64,
     class_run: Vec<f64>,
-    /// Hinted work of the runs measured; zero until there is a hint.
+    /// Mean hinted work of the runs measured, s; zero until there is a hint.
     class_hint: Vec<f64>,
-    /// The slowest recent good call of each class.
+    /// Duration of the slowest recent successful call of each class, s.
     pub slowest_call: Vec<f64>,
-    /// Recent calls that were never answered; decays with each good call.
+    /// Number of recent calls that were never answered; decays with each successful call.
     pub unanswered_calls: f64,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Settings have changed: each new class slot starts with the measurements of its previous slot, if it has one.
+    /// Applies new settings: each new class slot starts with the measurements of its previous slot, if it has one.
     pub fn apply_settings(&mut self, settings: &Settings, previous: &[(ClassId, Option<ClassId>)]) {
         for values in [&mut self.class_run, &mut self.class_hint, &mut self.slowest_call] {
             values.resize(settings.classes.len(), 0.0);
@@ -76,21 +76,21 @@
         self.class_run[request.class] * factor
     }
 
-    /// A call succeeded after this time.
+    /// Records a call that succeeded after `duration`.
     pub fn call_succeeded(&mut self, class: usize, duration: Micros) {
         let slowest = &mut self.slowest_call[class];
         *slowest = (*slowest * DECAY).max(duration.as_secs_f64());
         self.unanswered_calls *= DECAY;
     }
 
-    /// A call ended with its request, after this time and without an answer.
+    /// Records a call that had no answer after `duration`, when its request ended.
     pub fn call_unanswered(&mut self, class: usize, duration: Micros) {
         if duration.as_secs_f64() > NEVER_ANSWERED * self.slowest_call[class] {
             self.unanswered_calls += 1.0;
         }
     }
 
-    /// A run succeeded after this time.
+    /// Records a run that succeeded after `duration`.
     pub fn run_succeeded(&mut self, class: usize, duration: Micros, hint: Option<f64>) {
         update_mean(&mut self.run, duration.as_secs_f64());
         update_mean(&mut self.class_run[class], duration.as_secs_f64());
@@ -101,7 +101,7 @@
     }
 }
 
-/// Where a request is between its arrival and its end.
+/// The phase of a request between its arrival and its end.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) enum RequestPhase {
     #[default]
@@ -113,7 +113,7 @@
     AwaitingCall,
     /// Its call is in progress.
     Calling,
-    /// It has been asked to pause and has not confirmed that.
+    /// Its worker has been told to pause it and has not confirmed that.
     Pausing,
     Paused,
 }
@@ -126,9 +126,9 @@
     pub order: i64,
     pub kb: f64,
     pub arrived: Micros,
-    /// It must be answered by then.
+    /// The time by which it must be answered.
     pub due: Micros,
-    /// An answer has its full value until then, as far as this server can know.
+    /// Until this time an answer has its full value, as far as this server can determine.
     pub objective: Micros,
     /// Hinted work, s.
     pub hint: Option<f64>,
@@ -142,7 +142,7 @@
     /// When its latest call was placed.
     pub call_placed: Micros,
     pub retains_key: bool,
-    /// A further attempt.
+    /// Whether it is a further attempt.
     pub is_retry: bool,
     pub may_call: bool,
 }
@@ -176,7 +176,7 @@
     }
 }
 
-/// Queued requests in their order: those that make no calls, and those that may.
+/// Queued requests sorted by order, in two sets: those that make no calls, and those that may.
 #[derive(Default)]
 pub(crate) struct RequestQueue([BTreeSet<(i64, RequestId)>; 2]);
 
@@ -197,14 +197,15 @@
         self.0.iter().filter_map(|part| part.first()).min().map(|first| first.1)
     }
 
-    /// The highest request, of those that may call only one whose order is above `min_calling_order`.
+    /// The request with the highest order. A request that may call is considered only if its order is above
+    /// `min_calling_order`.
     pub fn highest(&self, min_calling_order: i64) -> Option<(i64, RequestId)> {
         let [plain, calling] = &self.0;
         plain.last().max(calling.last().filter(|last| last.0 > min_calling_order)).copied()
     }
 }
 
-/// Requests whose key is retained, and when each of these entries ends.
+/// Requests whose keys are retained, and when each retention ends.
 #[derive(Default)]
 pub(crate) struct RetainedKeys {
     by_end: BTreeSet<(Micros, RequestId)>,
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Takes the next review that is due by `now`. The request has none from then on until it is scheduled again.
+    /// Takes the next review that is due by `now`. The request has no review until it is scheduled again.
     pub fn pop_due(&mut self, now: Micros) -> Option<RequestId> {
         let (when, id) = *self.by_time.first()?;
         (when <= now && self.by_time.remove(&(when, id))).then_some(id)
@@ -273,7 +274,7 @@
 pub(crate) struct DependencyCalls {
     /// Calls placed and neither ended nor abandoned.
     pub in_progress: usize,
-    /// When the dependency has ended each abandoned call at the latest.
+    /// For each abandoned call, the latest time at which the dependency ends it.
     abandoned: VecDeque<Micros>,
     /// The mean of [`DependencyCalls::count`] over the window of [`DependencyCalls::advance`].
     pub mean: f64,
@@ -285,14 +286,14 @@
         (self.in_progress + self.abandoned.len()) as f64
     }
 
-    /// A call is abandoned; the dependency works on it until `end` at the latest.
+    /// Records an abandoned call, on which the dependency works until `end` at the latest.
     pub fn abandon(&mut self, end: Micros) {
         self.abandoned.push_back(end);
     }
 
-    /// Time has passed: updates the mean over `window`, and forgets abandoned calls that have ended.
+    /// Advances by `elapsed`: updates the mean over `window`, and forgets abandoned calls that have ended.
     pub fn advance(&mut self, now: Micros, elapsed: Micros, window: Micros) {
-        // Calls since the last step count in their mean before any of them ends.
+        // The mean is updated before ended calls are removed, so that calls since the last step count in it.
         let window = window.as_secs_f64().max(1e-3);
         self.mean += (self.count() - self.mean) * (1.0 - (-elapsed.as_secs_f64() / window).exp());
         while self.abandoned.front().is_some_and(|end| *end <= now) {
