--- a/tests/keyed_window.rs
+++ b/tests/keyed_window.rs
@@ -1,5 +1,6 @@
-//! Repeats of a keyed write: one run within the window that the settings name, counted from the arrival of the try that ran,
-//! the same result to each try, and the key free again behind it; however short the window, and whatever reads may share.
+//! Repeats of a keyed write run once within the class's window, which starts at the arrival of the attempt that ran. Each
+//! attempt gets the same result, and the key is free after the window. This holds for any length of the window and for any
+//! time for which reads share results.
 
 mod common;
 
@@ -12,14 +13,15 @@
     Micros::from_millis(x)
 }
 
-/// A core whose class of keyed writes has this window and deadline, and whose reads are fresh for so long.
+/// A core whose class of keyed writes has this window and deadline, and whose read results may be shared for `fresh`; all
+/// in ms.
 fn core(window: u64, deadline: u64, fresh: u64) -> Core {
     let mut settings = Settings { fresh_for: ms(fresh), ..common::settings() };
     (settings.classes[1].window, settings.classes[1].deadline) = (ms(window), ms(deadline));
     Core::with(settings).start()
 }
 
-fn ask(c: &Core, call: u32, key: &str) -> Input {
+fn keyed_write(c: &Core, call: u32, key: &str) -> Input {
     c.ask(call, 1, Some(key))
 }
 
@@ -28,8 +30,8 @@
     Input::RunEnded { name: format!("r{call}"), outcome: end, result, duration: None }
 }
 
-/// Launches by name, and answers by call.
-fn seen(out: &[Output]) -> (Vec<String>, Vec<(u32, Answer)>) {
+/// The names of launched runs, and the answers by call number.
+fn launches_and_answers(out: &[Output]) -> (Vec<String>, Vec<(u32, Answer)>) {
     let launched = out.iter().filter_map(|o| match o {
         Output::Launch { name, .. } => Some(name.clone()),
         _ => None,
@@ -45,69 +47,71 @@
     (call, Answer::Completed(Bytes::from(format!("result {by}"))))
 }
 
-/// Windows from far shorter than a deadline to longer; reads that share their results for no time, a short one, a long one.
+/// Window, deadline and read sharing time, ms: windows from far shorter than the deadline to longer, and no, short and long
+/// sharing.
 const WINDOWS: [(u64, u64, u64); 5] =
     [(5_000, 3_000, 0), (5_000, 3_000, 200), (400, 3_000, 0), (400, 3_000, 60_000), (400, 500, 0)];
 
 #[test]
-fn a_repeat_within_the_window_has_the_result_and_does_not_run() {
+fn a_repeat_within_the_window_gets_the_result_and_does_not_run() {
     for (window, deadline, fresh) in WINDOWS {
         let mut c = core(window, deadline, fresh);
-        let first = ask(&c, 1, "k");
-        assert_eq!(seen(&c.after(vec![first], 10)), (vec!["r1".to_owned()], vec![]));
-        let while_it_runs = ask(&c, 2, "k");
+        let first = keyed_write(&c, 1, "k");
+        assert_eq!(launches_and_answers(&c.after(vec![first], 10)), (vec!["r1".to_owned()], vec![]));
+        let while_it_runs = keyed_write(&c, 2, "k");
         let out = c.after(vec![while_it_runs, ended(1, Outcome::Good)], 20);
-        let (launched, mut answered) = seen(&out);
+        let (launched, mut answered) = launches_and_answers(&out);
         answered.sort_by_key(|a| a.0);
         assert_eq!((launched, answered), (vec![], vec![served(1, 1), served(2, 1)]), "{window} {fresh}");
         c.after(vec![], window - 100);
-        let late = ask(&c, 3, "k");
+        let late = keyed_write(&c, 3, "k");
         assert_eq!(
-            seen(&c.after(vec![late], 20)),
+            launches_and_answers(&c.after(vec![late], 20)),
             (vec![], vec![served(3, 1)]),
             "{window} {deadline} {fresh}"
         );
-        // Another key is another write.
-        let other = ask(&c, 4, "l");
-        assert_eq!(seen(&c.after(vec![other], 20)).0, ["r4"]);
+        // A write with another key is a different write.
+        let other = keyed_write(&c, 4, "l");
+        assert_eq!(launches_and_answers(&c.after(vec![other], 20)).0, ["r4"]);
     }
 }
 
-/// Time limits count 50 ms longer, and so does the window: what comes in these has the result and does not run.
+/// Every time limit of the protocol has a tolerance of 50 ms, and so has the window: a repeat that arrives within the
+/// tolerance gets the result and does not run.
 #[test]
-fn the_window_is_kept_50_ms_longer() {
+fn the_window_has_a_tolerance_of_50_ms() {
     for (window, deadline, fresh) in WINDOWS {
-        for (behind, runs) in [(40, false), (60, true)] {
+        for (late_by, runs) in [(40, false), (60, true)] {
             let mut c = core(window, deadline, fresh);
-            let first = ask(&c, 1, "k");
+            let first = keyed_write(&c, 1, "k");
             let start = c.now;
             c.after(vec![first], 10);
             c.after(vec![ended(1, Outcome::Good)], 10);
             c.after(vec![], window - 100);
-            c.now = start + ms(window + behind);
-            let next = ask(&c, 2, "k");
-            let (launched, answered) = seen(&c.after(vec![next], 20));
-            assert_eq!(launched.is_empty(), !runs, "{window} {deadline} {fresh} {behind}");
-            assert_eq!(answered == [served(2, 1)], !runs, "{window} {deadline} {fresh} {behind}");
+            c.now = start + ms(window + late_by);
+            let next = keyed_write(&c, 2, "k");
+            let (launched, answered) = launches_and_answers(&c.after(vec![next], 20));
+            assert_eq!(launched.is_empty(), !runs, "{window} {deadline} {fresh} {late_by}");
+            assert_eq!(answered == [served(2, 1)], !runs, "{window} {deadline} {fresh} {late_by}");
         }
     }
 }
 
 #[test]
-fn behind_the_window_the_key_is_free() {
+fn after_the_window_the_key_is_free() {
     for (window, deadline, fresh) in WINDOWS {
         let mut c = core(window, deadline, fresh);
-        let first = ask(&c, 1, "k");
+        let first = keyed_write(&c, 1, "k");
         c.after(vec![first], 10);
-        assert_eq!(seen(&c.after(vec![ended(1, Outcome::Good)], 10)).1, [served(1, 1)]);
+        assert_eq!(launches_and_answers(&c.after(vec![ended(1, Outcome::Good)], 10)).1, [served(1, 1)]);
         c.after(vec![], window + 100);
-        let next = ask(&c, 2, "k");
+        let next = keyed_write(&c, 2, "k");
         assert_eq!(
-            seen(&c.after(vec![next], 20)),
+            launches_and_answers(&c.after(vec![next], 20)),
             (vec!["r2".to_owned()], vec![]),
             "{window} {deadline} {fresh}"
         );
-        assert_eq!(seen(&c.after(vec![ended(2, Outcome::Good)], 10)).1, [served(2, 2)]);
+        assert_eq!(launches_and_answers(&c.after(vec![ended(2, Outcome::Good)], 10)).1, [served(2, 2)]);
     }
 }
 
@@ -115,25 +119,24 @@
 fn a_repeat_of_a_run_that_failed_fails_and_does_not_run() {
     for (window, deadline, fresh) in WINDOWS {
         let mut c = core(window, deadline, fresh);
-        let first = ask(&c, 1, "k");
+        let first = keyed_write(&c, 1, "k");
         c.after(vec![first], 10);
         assert_eq!(
-            seen(&c.after(vec![ended(1, Outcome::Bad)], 10)).1,
+            launches_and_answers(&c.after(vec![ended(1, Outcome::Bad)], 10)).1,
             [(1, Answer::Failed(FailureReason::RunFailed))]
         );
-        let again = ask(&c, 2, "k");
-        let (launched, answered) = seen(&c.after(vec![again], 20));
+        let again = keyed_write(&c, 2, "k");
+        let (launched, answered) = launches_and_answers(&c.after(vec![again], 20));
         assert!(launched.is_empty() && matches!(answered[..], [(2, Answer::Failed(_))]), "{answered:?}");
         c.after(vec![], window + 100);
-        let next = ask(&c, 3, "k");
-        assert_eq!(seen(&c.after(vec![next], 20)).0, ["r3"], "{window} {deadline} {fresh}");
+        let next = keyed_write(&c, 3, "k");
+        assert_eq!(launches_and_answers(&c.after(vec![next], 20)).0, ["r3"], "{window} {deadline} {fresh}");
     }
 }
 
-/// What another process of this node told of counts for its window too: within it a repeat runs nowhere, behind it the key is
-/// another write's.
+/// A run reported by another process of this node has a window too: within it no repeat runs, and after it the key is free.
 #[test]
-fn a_window_that_another_process_told_of() {
+fn the_window_of_a_run_in_another_process_applies_here() {
     use holdlift::idempotency::{Attempt, Change, Fingerprint, IdempotencyKey, Progress};
     for (window, deadline, fresh) in WINDOWS {
         for (late, runs) in [(window - 100, false), (window + 100, true)] {
@@ -151,8 +154,8 @@
             };
             let result = Bytes::from_static(b"result 9");
             c.after(vec![Input::ChangeReceived(Change::Known(other, Progress::Good(result)))], late);
-            let repeat = ask(&c, 1, "k");
-            let (launched, answered) = seen(&c.after(vec![repeat], 20));
+            let repeat = keyed_write(&c, 1, "k");
+            let (launched, answered) = launches_and_answers(&c.after(vec![repeat], 20));
             if runs {
                 assert_eq!(
                     (launched, answered),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules, one small case each, and one test for each failure found.
+//! The rules of the decision module, each in small cases, and one regression test for each fault that was found.
 
 mod common;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn bad_settings_are_named() {
+fn invalid_settings_are_rejected_with_the_name_of_the_value() {
     assert_eq!(Policy::new(Settings { cores: 0, ..settings() }, 1).err(), Some(SettingsError::NoCores));
     assert_eq!(
         Policy::new(Settings { classes: vec![].into(), ..settings() }, 1).err(),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn bad_events_are_named_and_nothing_is_done() {
+fn a_batch_with_an_invalid_event_is_rejected_without_actions() {
     let mut s = Server::new(settings());
     let mut out = Vec::new();
     let events = [Event::Arrived(request(1, 0)), Event::Arrived(request(2, 9))];
@@ -57,15 +57,15 @@
 }
 
 #[test]
-fn what_is_beyond_a_members_share_comes_last() {
+fn requests_over_their_tenants_quota_start_last() {
     let mut s = Server::new(settings());
     let over = |id, class| Request { is_over_quota: true, ..request(id, class) };
     let out = s.arrive(1, &[over(1, 2), request(2, 0), over(3, 0), request(4, 1)]);
-    assert_eq!(&runs(&out)[..2], &[4, 2], "however high its rank");
-    assert_eq!(answers(&out), [0; 0], "and is not refused for that");
+    assert_eq!(&runs(&out)[..2], &[4, 2], "requests over quota start after all others, whatever their rank");
+    assert_eq!(answers(&out), [0; 0], "requests over quota are not refused for that reason");
     let mut s = Server::new(settings());
     let out = s.arrive(1, &[over(1, 0), over(2, 2)]);
-    assert_eq!(runs(&out), [2, 1], "where there is room it runs, by rank among itself");
+    assert_eq!(runs(&out), [2, 1], "with free cores, requests over quota run in order of rank");
 }
 
 #[test]
@@ -77,45 +77,46 @@
     let ran = runs(&out);
     out.extend(s.idle(790, 1.0));
     let got = answers(&out);
-    assert_eq!(got.len(), 40, "each once: {got:?}");
+    assert_eq!(got.len(), 40, "each request is answered once: {got:?}");
     for id in ran {
-        assert!(got.contains(&i64::from(id)), "{id} ran and was failed, not refused: {got:?}");
+        assert!(got.contains(&i64::from(id)), "request {id} ran, so it is failed and not refused: {got:?}");
     }
 }
 
 #[test]
-fn due_time_derives_from_arrival_where_none_is_passed() {
+fn due_time_derives_from_arrival_if_the_caller_sends_none() {
     let mut s = Server::new(settings());
-    // Waited 2.5 s unread of its 3 s; its aim has passed.
+    // It waited unread for 2.5 s of its 3 s; its latency objective has passed.
     let out = s.arrive(1, &[Request { unread_time: ms(2_500), ..request(1, 0) }]);
     assert_eq!(answers(&out), [-1]);
-    let late = ClassSettings { late_weight: 0.2, ..class("read", Effect::Retryable, 1_000, 3_000, 1.0) };
-    let mut s = Server::new(Settings { classes: vec![late].into(), ..settings() });
+    let valued_late =
+        ClassSettings { late_weight: 0.2, ..class("read", Effect::Retryable, 1_000, 3_000, 1.0) };
+    let mut s = Server::new(Settings { classes: vec![valued_late].into(), ..settings() });
     let out = s.arrive(1, &[Request { unread_time: ms(2_500), rank: 0.5, ..request(1, 0) }]);
     assert_eq!(runs(&out), [1]);
     let got = answers(&s.idle(510, 1.0));
-    assert_eq!(got, [1], "failed by arrival + deadline");
+    assert_eq!(got, [1], "the request fails by arrival + deadline");
 }
 
 #[test]
-fn keyed_work_runs_once() {
+fn repeats_of_keyed_work_join_the_attempt_that_ran() {
     let mut s = Server::new(settings());
     let out = s.arrive(1, &[request(1, 1)]);
     assert_eq!(runs(&out), [1]);
     assert!(out.iter().any(|a| matches!(a, Action::RetainKey(RequestId(1), span) if *span >= ms(5_000))));
-    // While it runs, and after it ended: served from its outcome.
+    // Repeats get its outcome, both while it runs and after it has ended.
     let repeat = |id| Request { repeats: Some(RequestId(1)), is_retry: true, ..request(id, 1) };
     assert!(s.arrive(10, &[repeat(2)]).contains(&Action::Join(RequestId(2))));
     s.at(50, &[ended(1, Outcome::Good), ended(2, Outcome::Good)]);
     assert!(s.arrive(10, &[repeat(3)]).contains(&Action::Join(RequestId(3))));
-    // Even where the entry has run out since.
+    // Also a repeat that arrived within the window but is read after the key's retention has ended.
     s.idle(6_000, 0.1);
     let out = s.arrive(1, &[Request { unread_time: ms(900), ..repeat(4) }]);
     assert!(runs(&out).is_empty() && out.contains(&Action::Join(RequestId(4))));
 }
 
 #[test]
-fn repeat_of_keyed_work_that_failed_is_failed() {
+fn a_repeat_of_failed_keyed_work_fails_without_a_run() {
     let mut s = Server::new(settings());
     s.arrive(1, &[request(1, 1)]);
     s.at(50, &[ended(1, Outcome::Bad)]);
@@ -124,10 +125,10 @@
 }
 
 #[test]
-fn of_two_held_tries_one_runs() {
+fn one_of_two_queued_attempts_of_a_key_runs() {
     let mut s = Server::new(settings());
     s.arrive(1, &(10..20).map(|i| Request { rank: 0.99, ..request(i, 2) }).collect::<Vec<_>>());
-    // Both in one batch, each pointing at the other.
+    // Both arrive in one batch, and each repeats the other.
     let a = Request { repeats: Some(RequestId(2)), ..request(1, 1) };
     let b = Request { repeats: Some(RequestId(1)), ..request(2, 1) };
     let mut out = s.arrive(1, &[a, b]);
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn gone_first_try_leaves_the_repeat_free_to_run() {
+fn a_repeat_runs_if_the_queued_first_attempt_was_cancelled() {
     let mut s = Server::new(settings());
     s.arrive(1, &(10..20).map(|i| Request { rank: 0.99, ..request(i, 2) }).collect::<Vec<_>>());
     s.arrive(1, &[request(1, 1)]);
@@ -149,19 +150,19 @@
 }
 
 #[test]
-fn nothing_later_than_the_grace_runs_after_the_notice() {
+fn requests_that_arrive_after_the_drain_grace_never_run() {
     let mut s = Server::new(settings());
     let stop = s.now + ms(5_000);
     s.at(0, &[Event::Drain(stop)]);
     assert_eq!(runs(&s.arrive(990, &[request(1, 0)])), [1]);
     let out = s.arrive(20, &[request(2, 0)]);
     assert_eq!((runs(&out), answers(&out)), (vec![], vec![-2]));
-    // Read late but arrived within the grace.
+    // It is read after the grace but arrived within it.
     assert_eq!(runs(&s.arrive(100, &[Request { unread_time: ms(300), ..request(3, 0) }])), [3]);
 }
 
 #[test]
-fn all_is_answered_before_the_stop() {
+fn every_request_is_answered_before_a_draining_process_stops() {
     let mut s = Server::new(settings());
     let mut out = s.arrive(1, &(0..30).map(|i| request(i, 2)).collect::<Vec<_>>());
     let stop = s.now + ms(300);
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn memory_is_kept_by_turning_away_the_lowest_rank() {
+fn requests_of_the_lowest_rank_are_refused_to_save_memory() {
     let mut s = Server::new(Settings { memory_kb: 2_000.0, ..settings() });
     let all: Vec<Request> =
         (0..110).map(|i| Request { rank: f64::from(i) / 110.0, ..request(i, 0) }).collect();
@@ -180,25 +181,25 @@
     let left = 110 - refused.len();
     let used = left as f64 * 20.0 + runs(&out).len() as f64 * 140.0;
     assert!(used <= 2_000.0 && !refused.is_empty(), "{used} kB, {refused:?}");
-    assert!(refused.iter().all(|id| -id < 30), "lowest first: {refused:?}");
+    assert!(refused.iter().all(|id| -id < 30), "the lowest ranks are refused first: {refused:?}");
 }
 
 #[test]
-fn keyed_request_without_room_for_its_entry_is_turned_away() {
+fn a_keyed_request_is_refused_without_memory_for_its_key() {
     let mut s = Server::new(Settings { memory_kb: 100.0, ..settings() });
     assert_eq!(answers(&s.arrive(1, &[request(1, 1)])), [-1]);
 }
 
 #[test]
-fn a_cold_server_runs_within_its_lower_ceiling() {
-    // At a quarter speed 1 + 2 x 0.25 = 1.5 per core are survived with two cores: three.
+fn a_cold_server_runs_fewer_requests_at_a_time() {
+    // At a quarter of full speed the server survives 1 + 2 x 0.25 = 1.5 runs per core, so three on two cores.
     let mut s = Server::new(Settings { is_cold: true, ..settings() });
     let out = s.arrive(1, &(0..20).map(|i| request(i, 2)).collect::<Vec<_>>());
     assert!((1..3).contains(&runs(&out).len()), "{:?}", runs(&out));
 }
 
 #[test]
-fn failed_work_counts_until_it_ends() {
+fn failed_work_occupies_its_core_until_it_ends() {
     let mut s = Server::new(settings());
     let first: Vec<Request> =
         (0..2).map(|i| Request { due: Some(s.now + ms(400)), ..request(i, 2) }).collect();
@@ -206,7 +207,7 @@
     assert_eq!(started, 2);
     let out = s.idle(390, 0.9);
     assert_eq!(answers(&out).len(), 2);
-    assert!(runs(&s.arrive(1, &[request(9, 2)])).is_empty(), "the cores are still full");
+    assert!(runs(&s.arrive(1, &[request(9, 2)])).is_empty(), "both cores are still busy with failed work");
     assert_eq!(runs(&s.at(5, &[ended(0, Outcome::Good)])), [9]);
 }
 
@@ -223,8 +224,8 @@
 }
 
 #[test]
-fn a_keyed_call_is_made_again_only_when_it_never_ran() {
-    for (outcome, again) in
+fn a_keyed_call_is_repeated_only_if_it_never_ran() {
+    for (outcome, is_repeated) in
         [(Outcome::Full, true), (Outcome::Unreachable, true), (Outcome::Bad, false), (Outcome::Late, false)]
     {
         let mut s = Server::new(calling());
@@ -232,17 +233,20 @@
         assert_eq!(calls(&s.at(5, &[Event::CallRequested(RequestId(1))])), 1);
         let mut out = s.at(5, &[Event::CallEnded(RequestId(1), outcome, Micros(9))]);
         out.extend(s.idle(60, 0.2));
-        assert_eq!((calls(&out) > 0, answers(&out).len()), (again, usize::from(!again)), "{outcome:?}");
+        assert_eq!(
+            (calls(&out) > 0, answers(&out).len()),
+            (is_repeated, usize::from(!is_repeated)),
+            "{outcome:?}"
+        );
     }
 }
 
-/// Who asks a server that leaves is told to stay away until it is gone; with a few ms, callers that heed it came back
-/// again and again.
-/// On busy cores half of what is left must do for a further try, as turning it away again mostly loses it.
+/// On busy cores a further attempt is queued with half of the remaining time that a first attempt needs, because a second
+/// refusal mostly loses the request.
 #[test]
-fn a_further_try_is_held_where_a_first_one_is_turned_away() {
-    // Runs take 300 ms here; a call takes the answer until 1,000 ms after its arrival.
-    for (backlog, retry, held) in
+fn a_further_attempt_is_queued_where_a_first_one_is_refused() {
+    // Runs take 300 ms; the latency objective is 1,000 ms after arrival.
+    for (unread_ms, is_retry, is_queued) in
         [(100, false, true), (450, false, false), (100, true, true), (450, true, true), (750, true, false)]
     {
         let mut s = Server::new(settings());
@@ -251,41 +255,47 @@
             s.at(5, &[Event::RunEnded(RequestId(id), Outcome::Good, ms(300))]);
         }
         s.idle(600, 1.0);
-        // Both cores are taken, so whatever may wait does.
+        // Both cores are busy, so a request that is not refused is queued.
         s.arrive(5, &[request(100, 2), request(101, 2)]);
-        let out = s.arrive(5, &[Request { is_retry: retry, unread_time: ms(backlog), ..request(102, 0) }]);
-        assert_eq!(answers(&out).is_empty(), held, "{backlog} ms unread, a further try: {retry}");
+        let out = s.arrive(5, &[Request { is_retry, unread_time: ms(unread_ms), ..request(102, 0) }]);
+        assert_eq!(answers(&out).is_empty(), is_queued, "{unread_ms} ms unread, is_retry {is_retry}");
     }
 }
 
+/// A draining server tells callers to stay away until it has stopped. With advice of a few ms, callers that followed it
+/// returned again and again.
 #[test]
-fn a_leaving_server_says_for_how_long() {
+fn a_draining_server_advises_to_retry_after_it_has_stopped() {
     let mut s = Server::new(settings());
     let stop = s.now + ms(2_000);
     s.at(0, &[Event::Drain(stop)]);
-    for (after, id, wanted) in [(1_200, 1, 800), (600, 2, 200)] {
+    for (after, id, expected_ms) in [(1_200, 1, 800), (600, 2, 200)] {
         let out = s.arrive(after, &[request(id, 0)]);
-        let told = out
+        let advised = out
             .iter()
             .find_map(|a| if let Action::Refuse { retry_after: wait, .. } = a { Some(*wait) } else { None });
-        assert_eq!(told, Some(ms(wanted)));
+        assert_eq!(advised, Some(ms(expected_ms)));
     }
 }
 
-/// Once calls go unanswered, one that may be made again is given up in time to do so, and waited for twice as long
-/// then; one that may not is waited for to the end, as is any while slow answers do come.
+/// While calls go unanswered, a repeatable call is abandoned early enough to repeat it, and the repeat may take twice as
+/// long. A call that may not be repeated can take until the due time, and so can any call while slow answers arrive.
 #[test]
-fn unanswered_calls_are_made_again() {
+fn repeatable_calls_are_repeated_while_calls_go_unanswered() {
     let mut s = Server::new(Settings { downstream: Downstream::Tier, ..calling() });
     let wait = |s: &mut Server, id: u32, class: usize| {
         s.arrive(1, &[request(id, class)]);
         let out = s.at(0, &[Event::CallRequested(RequestId(id))]);
         let until = out.iter().find_map(|a| if let Action::Call(_, u) = a { Some(*u) } else { None });
-        until.expect("a call") - s.now
+        until.expect("the request that waits for a call gets one") - s.now
     };
     for id in [1, 2] {
         assert_eq!(wait(&mut s, id, 0), ms(3_000));
-        assert_eq!(answers(&s.idle(1_020, 0.2)), [i64::from(id)], "its aim is 1 s");
+        assert_eq!(
+            answers(&s.idle(1_020, 0.2)),
+            [i64::from(id)],
+            "the request fails after its latency objective of 1 s"
+        );
         s.at(1, &[ended(id, Outcome::Cancelled)]);
     }
     assert_eq!((wait(&mut s, 3, 0), wait(&mut s, 4, 2)), (ms(300), ms(3_000)));
@@ -294,19 +304,19 @@
 }
 
 #[test]
-fn calls_stay_within_the_told_share() {
+fn calls_stay_within_the_configured_dependency_share() {
     let mut s = Server::new(calling());
     let ids = [1, 2, 3];
     s.arrive(1, &ids.map(|i| request(i, 2)));
     let out = s.at(5, &ids.map(|i| Event::CallRequested(RequestId(i))));
-    assert_eq!(calls(&out), 1, "0.2 x 3 + 0.3 x 0.77 = 0.83 leaves one");
+    assert_eq!(calls(&out), 1, "0.2 x 3 + 0.3 x 0.77 = 0.83 allows one call");
     let out = s.at(5, &[Event::CallEnded(RequestId(3), Outcome::Good, Micros(9))]);
     assert_eq!(calls(&out), 1);
 }
 
 #[test]
-fn a_share_under_one_call_is_kept_as_a_mean() {
-    // serra-alta-farm-later: hundreds of servers whose part of the dependency is under half a call each.
+fn a_dependency_share_below_one_call_is_kept_as_a_mean() {
+    // Scenario serra-alta-farm-later: hundreds of servers, each with a dependency share of less than half a call.
     let mut s = Server::new(Settings { dependency_share: 0.4, ..calling() });
     let mut placed = 0;
     for next in 0..400 {
@@ -315,31 +325,32 @@
         placed += calls(&s.idle(45, 0.3));
         s.at(50, &[Event::CallEnded(RequestId(next), Outcome::Good, ms(50)), ended(next, Outcome::Good)]);
     }
-    // 0.2 x 0.4 + 0.3 x 0.28 = 0.165 in hand on average; each call is in hand for nearly all of its round.
-    assert!((50..130).contains(&placed), "{placed} of 400");
+    // The limit is 0.2 x 0.4 + 0.3 x 0.28 = 0.165 calls in progress on average; each call is in progress for nearly all of
+    // its round.
+    assert!((50..130).contains(&placed), "{placed} of 400 calls were placed");
 }
 
 #[test]
-fn unread_time_asks_callers_for_less() {
-    // Incident i49b292: the hold was short while requests waited unread.
+fn time_spent_unread_raises_the_minimum_rank() {
+    // Incident i49b292: the queue was short while requests waited unread.
     let mut s = Server::new(Settings { load_signal: LoadSignal::MinimumRank, ..settings() });
-    let mut said = 0.0;
+    let mut minimum_rank = 0.0;
     for i in 0..150 {
         let r = Request { unread_time: ms(900), ..request(i, 1) };
         let g = Gauges { busy: Some(1.0), ..Gauges::default() };
         let out = s.at(50, &[Event::Arrived(r), Event::Timer(TimerToken(0), g), ended(i, Outcome::Good)]);
         for a in &out {
             if let Action::SetLoadSignal(x) = a {
-                said = *x;
+                minimum_rank = *x;
             }
         }
     }
-    assert!(said > 0.67, "shuts out the best class too: {said}");
+    assert!(minimum_rank > 0.67, "the minimum rank must exclude the highest class too: {minimum_rank}");
 }
 
 #[test]
-fn the_cap_does_not_bind_while_cores_are_free() {
-    // waw-transfers big-1: N held requests back at 0.85 busy, most of it reading.
+fn the_start_limit_does_not_apply_while_cores_are_free() {
+    // Scenario waw-transfers big-1: the start limit N delayed requests at an occupancy of 0.85, most of it from reading.
     let mut s =
         Server::new(Settings { is_cold: true, cold_speed: 0.01, max_runs_per_core: 200.0, ..settings() });
     s.idle(30, 0.85);
@@ -348,13 +359,13 @@
         s.at(1, &[ended(i, Outcome::Good)]);
     }
     s.idle(30, 0.97);
-    let held: Vec<Request> = (20..30).map(|i| request(i, 2)).collect();
-    assert!(runs(&s.arrive(1, &held)).is_empty(), "N of 1 is spent");
+    let queued: Vec<Request> = (20..30).map(|i| request(i, 2)).collect();
+    assert!(runs(&s.arrive(1, &queued)).is_empty(), "the start limit of 1 is used up");
 }
 
 #[test]
-fn a_storm_of_reads_leaves_fewer_runs() {
-    // Incident i2802c7: reads and a full run bound thrashed the cores together.
+fn many_tasks_that_read_requests_reduce_the_runs_started() {
+    // Incident i2802c7: reading and the full number of runs together overloaded the cores.
     let started = |on_cores: f64| {
         let mut s = Server::new(Settings { cores: 6, max_runs_per_core: 8.0, ..settings() });
         let g = Gauges { busy: Some(0.9), on_cores: Some(on_cores), ..Gauges::default() };
@@ -365,8 +376,8 @@
 }
 
 #[test]
-fn better_work_overtakes_parked_work() {
-    // Incident ia75f96: parked reads closed the starts of every class that calls.
+fn higher_classes_start_while_lower_ones_wait_for_calls() {
+    // Incident ia75f96: low requests that waited for their calls blocked starts of every class that makes calls.
     let mut s = Server::new(Settings { cores: 6, dependency_share: 4.0, ..calling() });
     let low = [1, 2, 3].map(|i| request(i, 0));
     s.arrive(1, &low);
@@ -376,30 +387,31 @@
 }
 
 #[test]
-fn fewer_refusals_may_be_tried_elsewhere_the_more_is_refused() {
-    // waw-transfers-later big-1: all that slow machines turned away was lost though others had room; with every
-    // refusal free to move on, the whole fleet drowned in reading.
+fn the_more_is_refused_the_fewer_refusals_may_be_retried_elsewhere() {
+    // Scenario waw-transfers-later big-1: without retries elsewhere, everything that slow machines refused was lost although
+    // others had room. With retries of every refusal, reading overloaded the whole fleet.
     let mut s = Server::new(settings());
-    let mut may_move = Vec::new();
+    let mut may_retry_elsewhere = Vec::new();
     for round in 0..12 {
         let ids = round * 20..round * 20 + 20;
         let mut out = s.arrive(1, &ids.map(|i| request(i, 2)).collect::<Vec<_>>());
         let ran = runs(&out);
         out.extend(s.idle(1_000, 1.0));
-        may_move.extend(out.iter().filter_map(|a| match a {
-            Action::Refuse { is_final: give_up, .. } => Some(!give_up),
+        may_retry_elsewhere.extend(out.iter().filter_map(|a| match a {
+            Action::Refuse { is_final, .. } => Some(!is_final),
             _ => None,
         }));
         s.at(1, &ran.iter().map(|i| ended(*i, Outcome::Good)).collect::<Vec<_>>());
     }
-    let part = |x: &[bool]| x.iter().filter(|m| **m).count() as f64 / x.len() as f64;
-    assert!(part(&may_move[..5]) > 0.5, "{may_move:?}");
-    assert!(part(&may_move[may_move.len() / 2..]) < 0.2, "{may_move:?}");
+    let fraction =
+        |values: &[bool]| values.iter().filter(|value| **value).count() as f64 / values.len() as f64;
+    assert!(fraction(&may_retry_elsewhere[..5]) > 0.5, "{may_retry_elsewhere:?}");
+    assert!(fraction(&may_retry_elsewhere[may_retry_elsewhere.len() / 2..]) < 0.2, "{may_retry_elsewhere:?}");
 }
 
 #[test]
-fn idle_connections_are_closed_where_many_are_open() {
-    // serra-alta-farm-later: half of the attempts found no room in tables full of idle connections.
+fn idle_connections_are_closed_only_if_many_are_open() {
+    // Scenario serra-alta-farm-later: half of the attempts were refused because idle connections filled the connection limit.
     let closes = |connections: f64| {
         let mut s = Server::new(settings());
         let g = Gauges { busy: Some(0.5), connections: Some(connections), ..Gauges::default() };
@@ -410,22 +422,22 @@
 }
 
 #[test]
-fn low_work_is_paused_for_better_work() {
-    // waw-transfers-later: on two cores urgent requests waited out long runs of low rank.
+fn work_of_low_rank_is_paused_for_higher_classes() {
+    // Scenario waw-transfers-later: on two cores urgent requests waited for long runs of low rank to end.
     let mut s = Server::new(Settings { stop_mode: StopMode::Freeze, ..settings() });
     assert_eq!(runs(&s.arrive(1, &[request(1, 0), request(2, 0)])).len(), 2);
     let out = s.arrive(5, &[request(3, 1)]);
     let paused = out.iter().find_map(|a| if let Action::Stop(id) = a { Some(id.0) } else { None });
     assert_eq!((paused, runs(&out)), (Some(1), vec![3]), "{out:?}");
-    // Nothing of its own rank overtakes it, and it goes on as soon as a core is free.
+    // No request of its own class overtakes it, and it resumes as soon as a core is free.
     s.at(5, &[ended(1, Outcome::Cancelled)]);
     assert!(runs(&s.arrive(5, &[Request { rank: 0.3, ..request(4, 0) }])).is_empty());
     assert_eq!(runs(&s.at(5, &[ended(3, Outcome::Good)])), [1]);
-    // Keyed work is never paused, and nothing is where work cannot be taken up again.
-    for (halt, first) in [(StopMode::Freeze, 1), (StopMode::Discard, 0)] {
-        let mut s = Server::new(Settings { stop_mode: halt, ..settings() });
+    // Keyed work is never paused, and no work is paused if it cannot be resumed.
+    for (stop_mode, first) in [(StopMode::Freeze, 1), (StopMode::Discard, 0)] {
+        let mut s = Server::new(Settings { stop_mode, ..settings() });
         s.arrive(1, &[1, 2].map(|i| Request { rank: 0.1, ..request(i, first) }));
-        assert!(runs(&s.arrive(5, &[request(3, 2)])).is_empty(), "{halt:?}");
+        assert!(runs(&s.arrive(5, &[request(3, 2)])).is_empty(), "{stop_mode:?}");
     }
 }
 
@@ -437,13 +449,13 @@
     s.at(5, &[ended(1, Outcome::Cancelled), ended(2, Outcome::Cancelled)]);
     let mut got = answers(&s.idle(1_000, 0.9));
     got.sort_unstable();
-    assert_eq!(got[..2], [1, 2], "failed at the end of their aim");
+    assert_eq!(got[..2], [1, 2], "paused requests fail at the end of their latency objective");
 }
 
-/// On idle cores a rough hint must not condemn a request on arrival: hints err by as much as work varies, and a mean
-/// of their ratios to run times, inflated by small hints, once turned away one large request in nine on quiet days.
+/// Hints err by as much as work varies. With run times estimated from the mean ratio of run time to hint, which small hints
+/// inflate, one large request in nine was refused under light load.
 #[test]
-fn a_large_hint_is_no_reason_to_refuse_on_idle_cores() {
+fn a_request_with_a_large_hint_is_not_refused_on_idle_cores() {
     let mut s = Server::new(settings());
     s.idle(600, 0.1);
     for (id, hint, lag) in [(1, 10, 100), (2, 100, 110), (3, 10, 100)] {
@@ -454,9 +466,9 @@
     assert_eq!((runs(&out), answers(&out)), (vec![4], vec![]));
 }
 
-/// A refusal says how long to stay away: until the hold has drained, and no longer than callers observe.
+/// The advised time lasts until the queue has drained, but no longer than callers observe.
 #[test]
-fn refusals_carry_a_time_to_stay_away() {
+fn refusals_advise_when_to_retry() {
     let mut s = Server::new(settings());
     let all: Vec<Request> = (0..80).map(|i| request(i, 0)).collect();
     let mut out = s.arrive(5, &all);
@@ -468,20 +480,20 @@
     assert!(!waits.is_empty() && waits.iter().all(|w| *w >= ms(15) && *w <= ms(1_000)), "{waits:?}");
 }
 
-/// A process that is replaced: what comes late still runs, health stays good, and all is answered before the stop.
+/// Unlike a drain, a hot restart leaves health good, and late arrivals still run.
 #[test]
-fn replaced_is_no_notice_but_all_is_answered_in_time() {
+fn a_process_with_a_successor_serves_on_and_answers_everything_before_it_stops() {
     let mut s = Server::new(settings());
     s.arrive(0, &[request(1, 2)]);
     let stop = s.now + ms(1_800);
-    let told = s.at(0, &[Event::SuccessorStarted(stop)]);
-    assert!(!told.iter().any(|a| matches!(a, Action::Health { .. })), "{told:?}");
+    let out = s.at(0, &[Event::SuccessorStarted(stop)]);
+    assert!(!out.iter().any(|a| matches!(a, Action::Health { .. })), "{out:?}");
     assert!(answers(&s.idle(1_200, 0.5)).is_empty());
-    // Past the grace of a notice.
+    // A draining server would refuse this arrival, as the grace is over.
     let late = s.arrive(0, &[request(2, 2)]);
     assert_eq!((runs(&late), answers(&late)), (vec![2], vec![]));
     let mut ids = answers(&s.idle(585, 0.5));
     ids.sort_unstable();
-    assert_eq!(ids, [1, 2], "both run still and are answered before the stop");
+    assert_eq!(ids, [1, 2], "both requests still run and are answered before the stop");
     assert!(s.now < stop);
 }
