--- a/src/lib.rs
+++ b/src/lib.rs
@@ -60,4 +60,4 @@
     IndexedEntry, IndexedList, LoadSignal, Micros, Outcome, Request, RequestId, Settings, SettingsChange,
     SettingsError, StopMode, TenantId, TenantSettings, TimerToken,
 };
-pub use policy::{Interval, Policy, next_start_limit};
+pub use policy::{IntervalMeasurements, Policy, next_start_limit};
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -37,7 +37,7 @@
 
 /// Measurements of one update interval.
 #[derive(Clone, Copy, Debug)]
-pub struct Interval {
+pub struct IntervalMeasurements {
     /// Mean busy fraction of the cores, 0 to 1.
     pub occupancy: f64,
     /// Busy fraction at light load, 0 to 1.
@@ -51,8 +51,8 @@
 }
 
 /// The limit for the next interval by section 2 of the algorithm: at least 1, or `None` for no limit.
-pub fn next_start_limit(interval: Interval) -> Option<u32> {
-    let Interval { occupancy, overhead, starts, .. } = interval;
+pub fn next_start_limit(interval: IntervalMeasurements) -> Option<u32> {
+    let IntervalMeasurements { occupancy, overhead, starts, .. } = interval;
     let round_down = |limit: f64| Some((limit + 1e-9).floor().clamp(1.0, 1e9) as u32);
     let spread = occupancy - overhead;
     let preliminary = (MAX_OCCUPANCY - overhead).max(0.0) / spread * starts;
@@ -111,7 +111,7 @@
         self.starts_in_period = 0;
         self.periods += 1;
         if self.periods >= PERIODS_PER_INTERVAL && self.busy_samples > 0 {
-            self.limit = next_start_limit(Interval {
+            self.limit = next_start_limit(IntervalMeasurements {
                 occupancy: self.busy_sum / f64::from(self.busy_samples),
                 overhead: self.overhead,
                 starts: f64::from(self.starts_in_interval) / f64::from(self.periods),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -22,7 +22,7 @@
     ReviewSchedule,
 };
 use capacity::CapacityController;
-pub use capacity::{Interval, next_start_limit};
+pub use capacity::{IntervalMeasurements, next_start_limit};
 
 /// Period of the housekeeping timer, ms: a quarter of the tightest answer slack seen in practice.
 const TICK_MS: u64 = 15;
--- a/tests/update.rs
+++ b/tests/update.rs
@@ -2,10 +2,10 @@
 //!
 //! Parameters: max.occup 0.97, occ.too.high 0.99, addl.decrement 0.05, max.increase 0.1, max.decrease 1, min.occup 0.92.
 
-use holdlift::{Interval, next_start_limit};
+use holdlift::{IntervalMeasurements, next_start_limit};
 
 fn limit(occupancy: f64, overhead: f64, starts: f64, limit: Option<u32>, was_limited: bool) -> Option<u32> {
-    next_start_limit(Interval { occupancy, overhead, starts, limit, was_limited })
+    next_start_limit(IntervalMeasurements { occupancy, overhead, starts, limit, was_limited })
 }
 
 #[test]
