--- a/src/idempotency/mod.rs
+++ b/src/idempotency/mod.rs
@@ -4,8 +4,8 @@
 //! does no I/O.
 //!
 //! An attempt is remembered from the time it is read until every attempt sent within its window has passed its
-//! deadline. The rule is checked twice: when a further attempt is read ([`IdempotencyStore::verdict`]), and again immediately
-//! before a launch ([`IdempotencyStore::launch`]), regardless of what was decided in between.
+//! deadline. The rule is checked twice: when a further attempt is read ([`IdempotencyStore::verdict`]), and again
+//! immediately before a launch ([`IdempotencyStore::launch`]), regardless of what was decided in between.
 //!
 //! | the earlier attempt of the key, within its window | a further attempt |
 //! |---|---|
@@ -108,9 +108,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LaunchWithheld::OtherAttemptRan(name) => write!(f, "request {name} of the same key has run"),
-            LaunchWithheld::AlreadyRan => write!(f, "it has run"),
+            LaunchWithheld::AlreadyRan => write!(f, "it has run already"),
             LaunchWithheld::AwaitingIncumbent => write!(f, "the other process has not answered"),
-            LaunchWithheld::Unknown => write!(f, "nothing is known of it"),
+            LaunchWithheld::Unknown => write!(f, "this process has not accepted it"),
         }
     }
 }
@@ -189,7 +189,8 @@
     result_bytes: usize,
     latest_result_position: u64,
     role: HandoverRole,
-    /// Messages for the other process since [`IdempotencyStore::take_changes`] last returned them; `None` while there is no other process.
+    /// Messages for the other process since [`IdempotencyStore::take_changes`] last returned them; `None` while there
+    /// is no other process.
     changes: Option<Vec<Change>>,
 }
 
@@ -261,8 +262,8 @@
         }
     }
 
-    /// Like [`IdempotencyStore::accept`], for an attempt whose name may also be the name of an attempt in the other process. The
-    /// other process receives no messages about it.
+    /// Like [`IdempotencyStore::accept`], for an attempt whose name may also be the name of an attempt in the other
+    /// process. The other process receives no messages about it.
     pub fn accept_unshared(&mut self, now: Micros, attempt: Attempt) -> Accepted {
         if !self.has_room(now) {
             return Accepted::Full;
@@ -314,8 +315,9 @@
         }
     }
 
-    /// Records that the attempt has been answered and no work continues for it. An attempt that never ran is forgotten, so
-    /// that a further one may run. A run that has not ended by now was paused and will never end; it counts as failed.
+    /// Records that the attempt has been answered and no work continues for it. An attempt that never ran is forgotten,
+    /// so that a further one may run. A run that has not ended by now was paused and will never end; it counts as
+    /// failed.
     pub fn settled(&mut self, name: &str) {
         let Some(e) = self.entries.get(name).filter(|e| !e.inherited) else { return };
         if e.state == AttemptState::Running {
@@ -351,8 +353,8 @@
 
     // ---- hot restart with two processes ----
 
-    /// Starts a hot restart in the given role. Returns messages about all stored attempts; later changes are collected for
-    /// [`IdempotencyStore::take_changes`].
+    /// Starts a hot restart in the given role. Returns messages about all stored attempts; later changes are collected
+    /// for [`IdempotencyStore::take_changes`].
     pub fn start_sharing(&mut self, now: Micros, role: HandoverRole) -> Vec<Change> {
         self.remove_expired(now);
         self.role = role;
@@ -379,8 +381,8 @@
         self.changes.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    /// Handles a message from the other process. It never changes an attempt that this process accepted itself, except for
-    /// one that awaits the incumbent's answer.
+    /// Handles a message from the other process. It never changes an attempt that this process accepted itself, except
+    /// for one that awaits the incumbent's answer.
     pub fn receive(&mut self, now: Micros, change: Change) -> ChangeOutcome {
         self.remove_expired(now);
         match change {
--- a/src/idempotency/tests.rs
+++ b/src/idempotency/tests.rs
@@ -317,8 +317,8 @@
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
     /// The reference model is a list of all runs that never forgets. In any order of arrivals, launches, ends and clock
-    /// steps, no attempt runs that was sent within the window of a run of its key, and each result given comes from a run
-    /// of the same key and body.
+    /// steps, no attempt runs that was sent within the window of a run of its key, and each result given comes from a
+    /// run of the same key and body.
     #[test]
     fn no_key_runs_twice_within_a_window(
         events in vec((0..8u8, 0..3usize, 0..2u8, 0..40u64), 1..120)
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -67,8 +67,8 @@
     CallEnded(RequestId, Outcome, Micros),
     /// A timer fired; gauges come with it.
     Timer(TimerToken, Gauges),
-    /// Other settings, which have been validated, apply from now on. Alone in its batch, as events are validated against
-    /// the settings.
+    /// Other settings, which have been validated, apply from now on. Alone in its batch, as events are validated
+    /// against the settings.
     SettingsChanged(Box<SettingsChange>),
 }
 
--- a/src/policy/answers.rs
+++ b/src/policy/answers.rs
@@ -30,7 +30,7 @@
         }
         update_mean(&mut self.refused_share, 1.0);
         let wait = Micros::from_secs_f64(self.queue_time_s()).max(Micros::from_millis(TICK_MS));
-        // A draining server accepts no more requests. Callers are told to wait until it has stopped, as
+        // A draining server accepts no more requests. Callers are advised to wait until it has stopped, as
         // otherwise they would retry every few ms.
         let stop = self.stop_at.filter(|_| self.drain_requested.is_some());
         let wait = stop.map_or(wait, |stop| wait.max(stop - self.last_step));
--- a/src/request_state.rs
+++ b/src/request_state.rs
@@ -113,7 +113,7 @@
     AwaitingCall,
     /// Its call is in progress.
     Calling,
-    /// Its worker has been told to pause it and has not confirmed that.
+    /// Its worker has been instructed to pause it and has not confirmed that.
     Pausing,
     Paused,
 }
--- a/tests/keyed_window.rs
+++ b/tests/keyed_window.rs
@@ -1,6 +1,6 @@
-//! Repeats of a keyed write run once within the class's window, which starts at the arrival of the attempt that ran. Each
-//! attempt gets the same result, and the key is free after the window. This holds for any length of the window and for any
-//! time for which reads share results.
+//! Repeats of a keyed write run once within the class's window, which starts at the arrival of the attempt that ran.
+//! Each attempt gets the same result, and the key is free after the window. This holds for any length of the window and
+//! for any time for which reads share results.
 
 mod common;
 
@@ -13,8 +13,8 @@
     Micros::from_millis(x)
 }
 
-/// A core whose class of keyed writes has this window and deadline, and whose read results may be shared for `fresh`; all
-/// in ms.
+/// A core whose class of keyed writes has this window and deadline, and whose read results may be shared for `fresh`;
+/// all in ms.
 fn core(window: u64, deadline: u64, fresh: u64) -> Core {
     let mut settings = Settings { fresh_for: ms(fresh), ..common::settings() };
     (settings.classes[1].window, settings.classes[1].deadline) = (ms(window), ms(deadline));
@@ -47,8 +47,8 @@
     (call, Answer::Completed(Bytes::from(format!("result {by}"))))
 }
 
-/// Window, deadline and read sharing time, ms: windows from far shorter than the deadline to longer, and no, short and long
-/// sharing.
+/// Window, deadline and read sharing time, ms: windows from far shorter than the deadline to longer, and no, short and
+/// long sharing.
 const WINDOWS: [(u64, u64, u64); 5] =
     [(5_000, 3_000, 0), (5_000, 3_000, 200), (400, 3_000, 0), (400, 3_000, 60_000), (400, 500, 0)];
 
@@ -134,7 +134,8 @@
     }
 }
 
-/// A run reported by another process of this node has a window too: within it no repeat runs, and after it the key is free.
+/// A run reported by another process of this node has a window too: within it no repeat runs, and after it the key is
+/// free.
 #[test]
 fn the_window_of_a_run_in_another_process_applies_here() {
     use holdlift::idempotency::{Attempt, Change, Fingerprint, IdempotencyKey, Progress};
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,5 +1,5 @@
-//! Seeded random event sequences against a reference model, which records each request and checks every action against the
-//! rules of the decision module.
+//! Seeded random event sequences against a reference model, which records each request and checks every action against
+//! the rules of the decision module.
 
 mod common;
 
@@ -51,14 +51,15 @@
     let mut generator = Generator(seed);
     let mut s = Server::new(settings.clone());
     let mut requests: BTreeMap<u32, RequestRecord> = BTreeMap::new();
-    // By subject: when the attempt that ran arrived and its number, and the attempt whose key is retained and until when.
+    // By subject: when the attempt that ran arrived and its number, and the attempt whose key is retained and until
+    // when.
     let mut ran_at: BTreeMap<u32, (Micros, u32)> = BTreeMap::new();
     let mut retained: BTreeMap<u32, (u32, Micros)> = BTreeMap::new();
     let mut retention_ends: BTreeMap<u32, Micros> = BTreeMap::new();
     let mut next = 1;
     // When the drain was requested, and when the process is stopped.
     let mut drain: Option<(Micros, Micros)> = None;
-    // Runs that were told to stop; their end is reported with the next batch.
+    // Runs that are being stopped; their end is reported with the next batch.
     let mut stopped: BTreeSet<u32> = BTreeSet::new();
     let (mut total_runs, mut total_answers, mut total_pauses) = (0, 0, 0);
     for round in 0..6_000u64 {
@@ -82,8 +83,8 @@
             let unread_time = Micros::from_millis(generator.below(6) * generator.below(60));
             let subject = if class == 1 { generator.below(40) } else { 1_000 + u64::from(next) } as u32;
             let arrived = now - unread_time;
-            // A request repeats the attempt that ran if it reaches the machine within that attempt's window, however late it
-            // is read, and even if a newer attempt from after that window has a retained key by then.
+            // A request repeats the attempt that ran if it reaches the machine within that attempt's window, however
+            // late it is read, and even if a newer attempt from after that window has a retained key by then.
             let repeats = ran_at
                 .get(&subject)
                 .filter(|(ran_arrived, _)| *ran_arrived + Micros::from_millis(5_000) >= arrived)
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -241,8 +241,8 @@
     }
 }
 
-/// On busy cores a further attempt is queued with half of the remaining time that a first attempt needs, because a second
-/// refusal mostly loses the request.
+/// On busy cores a further attempt is queued with half of the remaining time that a first attempt needs, because a
+/// second refusal mostly loses the request.
 #[test]
 fn a_further_attempt_is_queued_where_a_first_one_is_refused() {
     // Runs take 300 ms; the latency objective is 1,000 ms after arrival.
@@ -278,8 +278,8 @@
     }
 }
 
-/// While calls go unanswered, a repeatable call is abandoned early enough to repeat it, and the repeat may take twice as
-/// long. A call that may not be repeated can take until the due time, and so can any call while slow answers arrive.
+/// While calls go unanswered, a repeatable call is abandoned early enough to repeat it, and the repeat may take twice
+/// as long. A call that may not be repeated can take until the due time, and so can any call while slow answers arrive.
 #[test]
 fn repeatable_calls_are_repeated_while_calls_go_unanswered() {
     let mut s = Server::new(Settings { downstream: Downstream::Tier, ..calling() });
@@ -325,8 +325,8 @@
         placed += calls(&s.idle(45, 0.3));
         s.at(50, &[Event::CallEnded(RequestId(next), Outcome::Good, ms(50)), ended(next, Outcome::Good)]);
     }
-    // The limit is 0.2 x 0.4 + 0.3 x 0.28 = 0.165 calls in progress on average; each call is in progress for nearly all of
-    // its round.
+    // The limit is 0.2 x 0.4 + 0.3 x 0.28 = 0.165 calls in progress on average; each call is in progress for nearly all
+    // of its round.
     assert!((50..130).contains(&placed), "{placed} of 400 calls were placed");
 }
 
@@ -350,7 +350,8 @@
 
 #[test]
 fn the_start_limit_does_not_apply_while_cores_are_free() {
-    // Scenario waw-transfers big-1: the start limit N delayed requests at an occupancy of 0.85, most of it from reading.
+    // Scenario waw-transfers big-1: the start limit N delayed requests at an occupancy of 0.85, most of it from
+    // reading.
     let mut s =
         Server::new(Settings { is_cold: true, cold_speed: 0.01, max_runs_per_core: 200.0, ..settings() });
     s.idle(30, 0.85);
@@ -388,8 +389,8 @@
 
 #[test]
 fn the_more_is_refused_the_fewer_refusals_may_be_retried_elsewhere() {
-    // Scenario waw-transfers-later big-1: without retries elsewhere, everything that slow machines refused was lost although
-    // others had room. With retries of every refusal, reading overloaded the whole fleet.
+    // Scenario waw-transfers-later big-1: without retries elsewhere, everything that slow machines refused was lost
+    // although others had room. With retries of every refusal, reading overloaded the whole fleet.
     let mut s = Server::new(settings());
     let mut may_retry_elsewhere = Vec::new();
     for round in 0..12 {
@@ -411,7 +412,8 @@
 
 #[test]
 fn idle_connections_are_closed_only_if_many_are_open() {
-    // Scenario serra-alta-farm-later: half of the attempts were refused because idle connections filled the connection limit.
+    // Scenario serra-alta-farm-later: half of the attempts were refused because idle connections filled the connection
+    // limit.
     let closes = |connections: f64| {
         let mut s = Server::new(settings());
         let g = Gauges { busy: Some(0.5), connections: Some(connections), ..Gauges::default() };
@@ -452,8 +454,8 @@
     assert_eq!(got[..2], [1, 2], "paused requests fail at the end of their latency objective");
 }
 
-/// Hints err by as much as work varies. With run times estimated from the mean ratio of run time to hint, which small hints
-/// inflate, one large request in nine was refused under light load.
+/// Hints err by as much as work varies. With run times estimated from the mean ratio of run time to hint, which small
+/// hints inflate, one large request in nine was refused under light load.
 #[test]
 fn a_request_with_a_large_hint_is_not_refused_on_idle_cores() {
     let mut s = Server::new(settings());
--- a/tests/update.rs
+++ b/tests/update.rs
@@ -1,6 +1,7 @@
 //! The update of the start limit N, against values calculated by hand from section 2 of the published algorithm.
 //!
-//! Parameters: max.occup 0.97, occ.too.high 0.99, addl.decrement 0.05, max.increase 0.1, max.decrease 1, min.occup 0.92.
+//! Parameters: max.occup 0.97, occ.too.high 0.99, addl.decrement 0.05, max.increase 0.1, max.decrease 1, min.occup
+//! 0.92.
 
 use holdlift::{IntervalMeasurements, next_start_limit};
 
