--- a/src/runtime/hot_restart.rs
+++ b/src/runtime/hot_restart.rs
@@ -87,7 +87,7 @@
 }
 
 /// Where the processes of a node meet: in the folder that the platform keeps for it. Without one they don't.
-pub(super) fn place(name: &str, listen: Option<SocketAddr>) -> Option<PathBuf> {
+pub(super) fn socket_path(name: &str, listen: Option<SocketAddr>) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|d| !d.is_empty())?;
     // A name may hold anything; the file's must not lead elsewhere.
     let plain: String =
@@ -97,7 +97,11 @@
 }
 
 /// Asks the process that serves, if there is one, to be its heir.
-pub(super) async fn inherit(place: &Path, name: &str, listen: Option<SocketAddr>) -> Option<Inherited> {
+pub(super) async fn request_handover(
+    place: &Path,
+    name: &str,
+    listen: Option<SocketAddr>,
+) -> Option<Inherited> {
     let said = timeout(PATIENCE, async {
         let stream = UnixStream::connect(place).await?;
         let hello = HandoverMessage::Hello { name: name.to_owned(), listen };
@@ -296,7 +300,7 @@
 
 impl Runtime {
     /// This process is the heir of one that serves: what it got holds, and it listens once its work is up.
-    pub(super) fn follow(&mut self, inherited: Inherited) {
+    pub(super) fn become_successor(&mut self, inherited: Inherited) {
         if inherited.aside {
             // Its holder was told to stand aside, and so was the node.
             let _ = self.service.with(|s| s.apply_order(crate::service::ServiceOrder::OutOfService));
@@ -320,7 +324,7 @@
 
     /// The work is up: an heir tells its holder before it says so to anybody else, as the
     /// holder's notice may follow at once.
-    pub(super) fn take_clients(&mut self) -> Result<(), Box<dyn std::error::Error>> {
+    pub(super) fn start_taking_clients(&mut self) -> Result<(), Box<dyn std::error::Error>> {
         match &mut self.peer_process {
             Some(link) if link.heir && !link.ready => {
                 link.ready = true;
@@ -337,7 +341,11 @@
         Ok(())
     }
 
-    pub(super) fn kin(&mut self, now: Micros, kin: PeerProcess) -> Result<(), Box<dyn std::error::Error>> {
+    pub(super) fn handle_peer_process(
+        &mut self,
+        now: Micros,
+        kin: PeerProcess,
+    ) -> Result<(), Box<dyn std::error::Error>> {
         let this = |link: &Option<Link>, n| link.as_ref().is_some_and(|l| l.n == n);
         match kin {
             PeerProcess::Hello { n, name, listen, welcome } => {
@@ -382,7 +390,7 @@
                     if self.node.is_started() && self.stop_at.is_none() {
                         self.up()?;
                     }
-                    self.settle();
+                    self.await_successors();
                 }
             }
             PeerProcess::Waited
@@ -398,14 +406,14 @@
     }
 
     /// Waits for heirs of its own from now on.
-    pub(super) fn settle(&mut self) {
-        if let Some(place) = place(&self.config.name, self.config.listen) {
+    pub(super) fn await_successors(&mut self) {
+        if let Some(place) = socket_path(&self.config.name, self.config.listen) {
             tokio::task::spawn_local(welcome(place, self.events.clone()));
         }
     }
 
     /// Tells the other process, if there is one, of writes.
-    pub(super) fn tell_kin(&mut self) {
+    pub(super) fn send_write_changes(&mut self) {
         let Some(link) = &self.peer_process else { return };
         let changes = to_wire(process::now(), self.node.idempotency.changes());
         if !changes.is_empty() && link.queue.try_send(changes).is_err() {
@@ -418,12 +426,12 @@
     }
 
     /// Whether a notice to leave would be a replacement.
-    pub(super) fn has_heir(&self) -> bool {
+    pub(super) fn has_ready_successor(&self) -> bool {
         self.peer_process.as_ref().is_some_and(|l| !l.heir && l.ready)
     }
 
     /// The earliest time at which this process may be killed, if the notice to leave comes now, replaced or not.
-    pub(super) fn killed_by(&self, now: Micros) -> Micros {
+    pub(super) fn earliest_kill(&self, now: Micros) -> Micros {
         let most = self.settings.get().longest_deadline().min(LONGEST) + SLACK;
         now + Micros::from_millis(self.config.stop_ms).min(most)
     }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -268,16 +268,16 @@
 
     /// Takes over from a process of this node that serves, or opens the listeners where there is none.
     async fn take_over_or_open(&mut self) -> Result<(), Box<dyn std::error::Error>> {
-        let place = hot_restart::place(&self.config.name, self.config.listen);
-        let incumbent = match &place {
-            Some(place) => hot_restart::inherit(place, &self.config.name, self.config.listen).await,
+        let path = hot_restart::socket_path(&self.config.name, self.config.listen);
+        let incumbent = match &path {
+            Some(path) => hot_restart::request_handover(path, &self.config.name, self.config.listen).await,
             None => None,
         };
         match incumbent {
-            Some(inherited) => self.follow(inherited),
+            Some(inherited) => self.become_successor(inherited),
             None => {
                 self.open()?;
-                self.settle();
+                self.await_successors();
             }
         }
         Ok(())
@@ -388,7 +388,7 @@
         let now = process::now();
         self.node.start(now, cold, &mut self.outputs)?;
         if self.stop_at.is_none() {
-            self.take_clients()?;
+            self.start_taking_clients()?;
         }
         Ok(())
     }
@@ -419,7 +419,7 @@
         let now = process::now();
         self.node.advance(now, &mut self.outputs);
         self.dispatch(now);
-        self.tell_kin();
+        self.send_write_changes();
         let over = self.stop_at.is_some_and(|s| now >= s - ANSWERED_BEFORE_STOP) || self.has_handed_over(now);
         if over && !std::mem::replace(&mut self.is_finishing, true) {
             self.tell_all(|_| Reply::Finish);
@@ -435,12 +435,12 @@
         if let Some(fleet) = &self.fleet {
             fleet.begin_leaving();
         }
-        let succeeded = self.has_heir();
+        let succeeded = self.has_ready_successor();
         self.service.with(|s| s.start_departure(succeeded));
         if succeeded {
             // The queue of connections lives on in the heir, which has the same listeners.
             self.close();
-            let stop = self.killed_by(now);
+            let stop = self.earliest_kill(now);
             (self.stop_at, self.replaced_at) = (Some(stop), Some(now));
             info!(
                 "replaced: {} answers owed, {} connections",
@@ -454,7 +454,7 @@
             );
             return self.list();
         }
-        let stop = self.killed_by(now);
+        let stop = self.earliest_kill(now);
         self.stop_at = Some(stop);
         self.node.handle_input(now, Input::DrainRequested(stop - ANSWERED_BEFORE_STOP), &mut self.outputs);
     }
@@ -497,7 +497,7 @@
                     self.said(now, notice)?;
                 }
             }
-            Event::Handover(kin) => self.kin(now, kin)?,
+            Event::Handover(event) => self.handle_peer_process(now, event)?,
             Event::Datagrams(batch) => self.datagrams(now, batch),
             Event::FilesRead(told) => self.told(*told),
             Event::OpenCoap if self.stop_at.is_none() => self.open_coap(),
