--- a/src/runtime/hot_restart.rs
+++ b/src/runtime/hot_restart.rs
@@ -1,8 +1,9 @@
-//! Taking over from a process of this node that still serves, and being taken over from: the driver of
-//! [`crate::service::handover`].
+//! The I/O of a hot restart: the successor process takes over from the incumbent process of the same node with the
+//! protocol of [`crate::service::handover`].
 //!
-//! Whatever goes wrong here, a node starts and serves: without a Unix socket, with a stale or foreign file in its place,
-//! with a peer that is no holder, or one that dies half way, it listens by itself.
+//! No failure here keeps a node from starting and serving. A process opens its own listeners if it has no Unix socket, if
+//! the socket's path holds a stale socket or another file, if the peer does not speak the protocol, or if the peer dies
+//! during the handover.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -32,78 +33,86 @@
 use crate::service::handover::{HandoverCodec, HandoverError, HandoverMessage, MAX_LISTENERS, WIRE_NOW};
 use crate::time::process;
 
-/// How long either side waits for the other's first words, and the heir for the word that it may take clients. A platform
-/// that replaces a process gives it seconds; a holder that hangs must not use them up.
-const PATIENCE: Duration = Duration::from_millis(800);
-/// Batches of messages on their way to the other process. It is dropped if it lags behind further.
-const QUEUE: usize = 1024;
-/// The notice to leave comes at least this long before a process is killed, where deadlines are longer.
-const LONGEST: Micros = Micros::from_millis(3_000);
-/// And this much more than the longest deadline.
-const SLACK: Micros = Micros::from_millis(700);
-/// A replaced process that holds nothing more stays this long, for requests that crossed its last call.
-const CROSSED: Micros = Micros::from_millis(250);
+/// How long each process waits for the other's first message, and the successor for `TakeoverConfirmed`. A platform that
+/// replaces a process gives the successor a few seconds to start; an incumbent that hangs must not use them up.
+const PEER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Capacity of the queue to the other process, in batches of messages. The link is dropped when the queue is full.
+const QUEUE_BATCHES: usize = 1024;
+/// Upper bound on the longest request deadline in the estimate of the time until the platform kills a process that has had
+/// the notice to leave.
+const MAX_COUNTED_DEADLINE: Micros = Micros::from_millis(3_000);
+/// The platform kills a process no sooner than this long after the longest deadline, counted from the notice to leave.
+const KILL_MARGIN: Micros = Micros::from_millis(700);
+/// A replaced process without open requests stays for this long, for requests that callers sent before they learned that
+/// it drains.
+const LATE_REQUEST_GRACE: Micros = Micros::from_millis(250);
 
-/// Each process's part of the machine while there are two.
-const HALF: f64 = 0.5;
+/// Each process's share of the machine while both serve.
+const MACHINE_SHARE_OF_EACH: f64 = 0.5;
 
-/// What one process says to the other, in batches.
-type Said = Vec<HandoverMessage>;
+/// Messages that are sent to the other process with one flush.
+type MessageBatch = Vec<HandoverMessage>;
 
-/// What reaches the core's task from the other process. The number tells one link from another.
+/// An event of the link to the other process, for the core's task. The link number tells the current link from earlier
+/// ones.
 pub(super) enum PeerProcess {
-    /// An heir is there. It gets what it is welcomed with, or nothing.
-    Hello { n: u64, name: String, listen: Option<SocketAddr>, welcome: oneshot::Sender<Welcome> },
-    /// It says something.
-    Said(u64, HandoverMessage),
-    /// The link is over.
-    Gone(u64, &'static str),
-    /// The holder has been waited for long enough.
-    Waited,
+    /// A successor has connected. The accepted handover is sent to it through `welcome`; dropping `welcome` rejects the
+    /// successor.
+    Hello { link_id: u64, name: String, listen: Option<SocketAddr>, welcome: oneshot::Sender<Welcome> },
+    /// A message has arrived on this link.
+    Message(u64, HandoverMessage),
+    /// This link has ended, for this reason.
+    LinkEnded(u64, &'static str),
+    /// The successor's wait for `TakeoverConfirmed` has timed out.
+    ConfirmationTimeout,
 }
 
-/// What an heir is welcomed with.
+/// What the incumbent gives to a successor that it accepts.
 pub(super) struct Welcome {
-    aside: bool,
+    is_out_of_service: bool,
     listeners: Vec<(SocketAddr, Rc<TcpListener>)>,
-    queue: mpsc::Receiver<Said>,
+    outgoing: mpsc::Receiver<MessageBatch>,
 }
 
-/// The other process, as the core's task knows it.
+/// The link to the other process, as the core's task keeps it.
 pub(super) struct Link {
-    n: u64,
-    queue: mpsc::Sender<Said>,
-    /// This one is the heir, and the other the holder.
-    heir: bool,
-    /// The heir could take clients.
-    ready: bool,
+    id: u64,
+    outgoing: mpsc::Sender<MessageBatch>,
+    /// This process is the successor, and the other one the incumbent.
+    is_successor: bool,
+    /// The successor has sent `Ready`.
+    is_ready: bool,
 }
 
-/// What an heir has got.
+/// What a successor has received from the incumbent.
 pub(super) struct Inherited {
-    pub aside: bool,
+    /// An operator has taken the node out of service.
+    pub is_out_of_service: bool,
+    /// The incumbent's listeners.
     pub listeners: Vec<std::net::TcpListener>,
     link: Framed<UnixStream, HandoverCodec>,
 }
 
-/// Where the processes of a node meet: in the folder that the platform keeps for it. Without one they don't.
+/// The path of the Unix socket on which a node's incumbent accepts successors: in the folder `TMPDIR`, which the platform
+/// keeps for the node. `None` if `TMPDIR` is not set; there is no handover then.
 pub(super) fn socket_path(name: &str, listen: Option<SocketAddr>) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|d| !d.is_empty())?;
-    // A name may hold anything; the file's must not lead elsewhere.
+    // A node's name may hold any character, such as a path separator. The file must stay in the folder.
     let plain: String =
         name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' }).take(32).collect();
-    let port = listen.map_or(0, |at| at.port());
+    let port = listen.map_or(0, |address| address.port());
     Some(PathBuf::from(folder).join(format!("holdlift-{plain}-{port}.sock")))
 }
 
-/// Asks the process that serves, if there is one, to be its heir.
+/// Asks the incumbent process, if there is one, to accept this process as its successor. `None` if this process has to open
+/// its own listeners.
 pub(super) async fn request_handover(
-    place: &Path,
+    path: &Path,
     name: &str,
     listen: Option<SocketAddr>,
 ) -> Option<Inherited> {
-    let said = timeout(PATIENCE, async {
-        let stream = UnixStream::connect(place).await?;
+    let handover = timeout(PEER_TIMEOUT, async {
+        let stream = UnixStream::connect(path).await?;
         let hello = HandoverMessage::Hello { name: name.to_owned(), listen };
         let mut bytes = BytesMut::new();
         HandoverCodec.encode(hello, &mut bytes)?;
@@ -116,153 +125,163 @@
                 Err(e) => return Err(e.into()),
             }
         }
-        welcomed(stream).await
+        receive_welcome(stream).await
     });
-    match said.await {
+    match handover.await {
         Ok(Ok(Some(inherited))) => {
             info!("takes over from a process that serves: {} listeners", inherited.listeners.len());
             Some(inherited)
         }
         Ok(Ok(None)) => {
-            warn!("another process serves and has an heir already, or leaves; listening beside it");
+            warn!("another process serves and has a successor already, or is leaving; listening beside it");
             None
         }
-        // Nobody is there, which is how most starts are.
+        // No process listens at the path, as with most starts.
         Ok(Err(HandoverError::Io(e))) => {
-            debug!("{}: {e}", place.display());
+            debug!("{}: no process to take over from: {e}", path.display());
             None
         }
         Ok(Err(e)) => {
-            warn!("{}: {e}; listening by itself", place.display());
+            warn!("{}: {e}; listening by itself", path.display());
             None
         }
         Err(_) => {
-            warn!("{}: no welcome; listening by itself", place.display());
+            warn!("{}: the incumbent process did not answer in time; listening by itself", path.display());
             None
         }
     }
 }
 
-/// Reads the holder's first message and the descriptors that come with it.
-async fn welcomed(stream: UnixStream) -> Result<Option<Inherited>, HandoverError> {
-    let (mut input, mut passed) = (BytesMut::new(), Vec::new());
-    let (aside, addresses) = loop {
+/// Reads the incumbent's first message and the descriptors that come with it. `None` if the incumbent rejects the successor.
+async fn receive_welcome(stream: UnixStream) -> Result<Option<Inherited>, HandoverError> {
+    let (mut input, mut descriptors) = (BytesMut::new(), Vec::new());
+    let (is_out_of_service, addresses) = loop {
         let mut buffer = [0; 4096];
-        let n = stream.async_io(Interest::READABLE, || receive(&stream, &mut buffer, &mut passed)).await?;
+        let n =
+            stream.async_io(Interest::READABLE, || receive(&stream, &mut buffer, &mut descriptors)).await?;
         if n == 0 {
             return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
         }
         input.extend_from_slice(&buffer[..n]);
         match HandoverCodec.decode(&mut input)? {
-            Some(HandoverMessage::Welcome { out_of_service: aside, listeners }) => break (aside, listeners),
+            Some(HandoverMessage::Welcome { out_of_service, listeners }) => {
+                break (out_of_service, listeners);
+            }
             Some(_) => return Ok(None),
             None => {}
         }
     };
-    let listeners: Vec<_> = passed.into_iter().map(std::net::TcpListener::from).collect();
-    // What is not the listener that it is said to be is not used.
-    let same = listeners.iter().map(|l| l.local_addr().ok()).eq(addresses.into_iter().map(Some));
+    let listeners: Vec<_> = descriptors.into_iter().map(std::net::TcpListener::from).collect();
+    // Descriptors that are not listeners at the announced addresses are not used.
+    let match_addresses = listeners.iter().map(|l| l.local_addr().ok()).eq(addresses.into_iter().map(Some));
     let mut link = Framed::new(stream, HandoverCodec);
     link.read_buffer_mut().extend_from_slice(&input);
-    Ok(Some(Inherited { aside, listeners: if same { listeners } else { Vec::new() }, link }))
+    let listeners = if match_addresses { listeners } else { Vec::new() };
+    Ok(Some(Inherited { is_out_of_service, listeners, link }))
 }
 
-fn receive(stream: &UnixStream, buffer: &mut [u8], passed: &mut Vec<OwnedFd>) -> io::Result<usize> {
+/// Reads bytes and the descriptors that come with them.
+fn receive(stream: &UnixStream, buffer: &mut [u8], descriptors: &mut Vec<OwnedFd>) -> io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
-    let got = recvmsg(stream, &mut [IoSliceMut::new(buffer)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
+    let received = recvmsg(stream, &mut [IoSliceMut::new(buffer)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
     for message in control.drain() {
         if let RecvAncillaryMessage::ScmRights(fds) = message {
-            passed.extend(fds);
+            descriptors.extend(fds);
         }
     }
-    Ok(got.bytes)
+    Ok(received.bytes)
 }
 
-/// Welcomes heirs at the node's place for as long as the process lives. Where there can be no such place the node serves
-/// without.
-pub(super) async fn welcome(place: PathBuf, events: mpsc::Sender<Event>) {
-    let listener = match take_place(&place) {
+/// Accepts successors at the node's socket path for as long as the process lives. If the socket can't be opened the node
+/// serves without it, and a successor opens its own listeners.
+pub(super) async fn accept_successors(path: PathBuf, events: mpsc::Sender<Event>) {
+    let listener = match bind_socket(&path) {
         Ok(listener) => listener,
-        Err(e) => return warn!("{}: {e}; a successor will listen beside this process", place.display()),
+        Err(e) => return warn!("{}: {e}; a successor will listen beside this process", path.display()),
     };
-    let mut n = 0;
+    let mut link_id = 0;
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(PATIENCE).await;
+            sleep(PEER_TIMEOUT).await;
             continue;
         };
-        n += 1;
-        tokio::task::spawn_local(serve_heir(n, stream, events.clone()));
+        link_id += 1;
+        tokio::task::spawn_local(serve_successor(link_id, stream, events.clone()));
     }
 }
 
-/// Listens at the place, which another process may have left behind. Under another name first, so that nobody ever finds
-/// a place where nobody listens.
-fn take_place(place: &Path) -> io::Result<UnixListener> {
+/// Binds the node's socket, in place of one that an earlier process has left behind. The socket is bound under another name
+/// and then renamed, so that a successor never finds a socket without a listener.
+fn bind_socket(path: &Path) -> io::Result<UnixListener> {
     use std::os::unix::fs::FileTypeExt;
-    let there = std::fs::symlink_metadata(place);
-    if there.is_ok_and(|m| !m.file_type().is_socket()) {
+    let existing = std::fs::symlink_metadata(path);
+    if existing.is_ok_and(|m| !m.file_type().is_socket()) {
         return Err(io::Error::other("a file that is no socket is in the way"));
     }
-    let own = place.with_extension(std::process::id().to_string());
-    // One of a former process under the same number.
-    let _ = std::fs::remove_file(&own);
-    let listener = UnixListener::bind(&own)?;
-    std::fs::rename(&own, place)?;
+    let temporary = path.with_extension(std::process::id().to_string());
+    // An earlier process with the same id may have left its file behind.
+    let _ = std::fs::remove_file(&temporary);
+    let listener = UnixListener::bind(&temporary)?;
+    std::fs::rename(&temporary, path)?;
     Ok(listener)
 }
 
-async fn serve_heir(n: u64, stream: UnixStream, events: mpsc::Sender<Event>) {
+/// Sends the welcome to a successor that the core accepts, and exchanges messages with it from then on.
+async fn serve_successor(link_id: u64, stream: UnixStream, events: mpsc::Sender<Event>) {
     let mut link = Framed::new(stream, HandoverCodec);
-    let Ok(Some(Ok(HandoverMessage::Hello { name, listen }))) = timeout(PATIENCE, link.next()).await else {
+    let Ok(Some(Ok(HandoverMessage::Hello { name, listen }))) = timeout(PEER_TIMEOUT, link.next()).await
+    else {
         return;
     };
-    let (welcome, welcomed) = oneshot::channel();
-    if events.send(Event::Handover(PeerProcess::Hello { n, name, listen, welcome })).await.is_err() {
+    let (welcome, decision) = oneshot::channel();
+    if events.send(Event::Handover(PeerProcess::Hello { link_id, name, listen, welcome })).await.is_err() {
         return;
     }
-    let Ok(w) = welcomed.await else {
-        let _ = timeout(PATIENCE, link.send(HandoverMessage::Busy)).await;
+    let Ok(welcome) = decision.await else {
+        let _ = timeout(PEER_TIMEOUT, link.send(HandoverMessage::Busy)).await;
         return;
     };
-    let (listeners, rights): (Vec<_>, Vec<_>) = w.listeners.iter().map(|(at, l)| (*at, l.as_fd())).unzip();
+    let (listeners, descriptors): (Vec<_>, Vec<_>) =
+        welcome.listeners.iter().map(|(address, listener)| (*address, listener.as_fd())).unzip();
     let mut bytes = BytesMut::new();
-    let first = HandoverMessage::Welcome { out_of_service: w.aside, listeners };
+    let first = HandoverMessage::Welcome { out_of_service: welcome.is_out_of_service, listeners };
     let sent = match HandoverCodec.encode(first, &mut bytes) {
         Ok(()) => {
             let stream = link.get_ref();
-            let pass = stream.async_io(Interest::WRITABLE, || {
+            let send = stream.async_io(Interest::WRITABLE, || {
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
                 let mut control = SendAncillaryBuffer::new(&mut space);
-                if !control.push(SendAncillaryMessage::ScmRights(&rights)) {
-                    return Err(io::Error::other("too many listeners"));
+                if !control.push(SendAncillaryMessage::ScmRights(&descriptors)) {
+                    return Err(io::Error::other("too many listeners to pass to the successor"));
                 }
                 Ok(sendmsg(stream, &[IoSlice::new(&bytes)], &mut control, SendFlags::NOSIGNAL)?)
             });
-            matches!(timeout(PATIENCE, pass).await, Ok(Ok(n)) if n == bytes.len())
+            matches!(timeout(PEER_TIMEOUT, send).await, Ok(Ok(n)) if n == bytes.len())
         }
         Err(_) => false,
     };
-    drop(w.listeners);
+    drop(welcome.listeners);
     if sent {
-        talk(n, link, w.queue, events).await;
+        exchange_messages(link_id, link, welcome.outgoing, events).await;
     } else {
-        let _ = events.send(Event::Handover(PeerProcess::Gone(n, "no welcome could be sent"))).await;
+        let _ = events
+            .send(Event::Handover(PeerProcess::LinkEnded(link_id, "the welcome could not be sent")))
+            .await;
     }
 }
 
 /// Carries messages both ways until the link ends.
-async fn talk(
-    n: u64,
+async fn exchange_messages(
+    link_id: u64,
     link: Framed<UnixStream, HandoverCodec>,
-    mut queue: mpsc::Receiver<Said>,
+    mut outgoing: mpsc::Receiver<MessageBatch>,
     events: mpsc::Sender<Event>,
 ) {
     let (mut sink, mut stream) = link.split();
     let write = async {
-        while let Some(all) = queue.recv().await {
-            for message in all {
+        while let Some(batch) = outgoing.recv().await {
+            for message in batch {
                 if sink.feed(message).await.is_err() {
                     return "can't be written to";
                 }
@@ -277,147 +296,157 @@
         loop {
             match stream.next().await {
                 Some(Ok(message)) => {
-                    if events.send(Event::Handover(PeerProcess::Said(n, message))).await.is_err() {
+                    if events.send(Event::Handover(PeerProcess::Message(link_id, message))).await.is_err() {
                         return "dropped";
                     }
                 }
                 Some(Err(HandoverError::Io(_))) | None => return "closed",
-                Some(Err(_)) => return "what it says is no message",
+                Some(Err(_)) => return "received bytes that are not a handover message",
             }
         }
     };
-    let why = tokio::select! {
-        why = write => why,
-        why = read => why,
+    let reason = tokio::select! {
+        reason = write => reason,
+        reason = read => reason,
     };
-    let _ = events.send(Event::Handover(PeerProcess::Gone(n, why))).await;
+    let _ = events.send(Event::Handover(PeerProcess::LinkEnded(link_id, reason))).await;
 }
 
-/// Changes as they cross: each process has a monotonic clock of its own, so times cross as spans around [`WIRE_NOW`].
-fn to_wire(now: Micros, changes: Vec<Change>) -> Said {
+/// Changes in the form in which they are sent. Each process has its own monotonic clock, so times are sent relative to the
+/// time of sending, which is [`WIRE_NOW`] in the message.
+fn to_wire(now: Micros, changes: Vec<Change>) -> MessageBatch {
     changes.into_iter().map(|change| HandoverMessage::Write(change.rebased(now, WIRE_NOW))).collect()
 }
 
 impl Runtime {
-    /// This process is the heir of one that serves: what it got holds, and it listens once its work is up.
+    /// Makes this process the successor of a serving incumbent. It takes over the inherited listeners and service state, and
+    /// listens once its agent is connected.
     pub(super) fn become_successor(&mut self, inherited: Inherited) {
-        if inherited.aside {
-            // Its holder was told to stand aside, and so was the node.
+        if inherited.is_out_of_service {
+            // An order to the incumbent to go out of service concerns the whole node.
             let _ = self.service.with(|s| s.apply_order(crate::service::ServiceOrder::OutOfService));
         }
-        for l in inherited.listeners {
-            let at = l.local_addr();
-            if let (Ok(at), Ok(())) = (at, l.set_nonblocking(true))
-                && let Ok(l) = TcpListener::from_std(l)
+        for listener in inherited.listeners {
+            let address = listener.local_addr();
+            if let (Ok(address), Ok(())) = (address, listener.set_nonblocking(true))
+                && let Ok(listener) = TcpListener::from_std(listener)
             {
-                self.inherited_listeners.push((at, l));
+                self.inherited_listeners.push((address, listener));
             }
         }
-        let (queue, said) = mpsc::channel(QUEUE);
+        let (outgoing, outgoing_receiver) = mpsc::channel(QUEUE_BATCHES);
         let now = process::now();
-        self.node.set_machine_share(now, HALF, &mut self.outputs);
-        let known = to_wire(now, self.node.idempotency.share(now, Side::Successor));
-        let _ = queue.try_send(known);
-        self.peer_process = Some(Link { n: 0, queue, heir: true, ready: false });
-        tokio::task::spawn_local(talk(0, inherited.link, said, self.events.clone()));
+        self.node.set_machine_share(now, MACHINE_SHARE_OF_EACH, &mut self.outputs);
+        let known_writes = to_wire(now, self.node.idempotency.share(now, Side::Successor));
+        let _ = outgoing.try_send(known_writes);
+        self.peer_process = Some(Link { id: 0, outgoing, is_successor: true, is_ready: false });
+        let events = self.events.clone();
+        tokio::task::spawn_local(exchange_messages(0, inherited.link, outgoing_receiver, events));
     }
 
-    /// The work is up: an heir tells its holder before it says so to anybody else, as the
-    /// holder's notice may follow at once.
+    /// Starts to take clients, now that the agent is connected. A successor first sends `Ready` to its incumbent and reports
+    /// to no one else before the confirmation, as the incumbent's notice to leave may follow that report at once.
     pub(super) fn start_taking_clients(&mut self) -> Result<(), Box<dyn std::error::Error>> {
         match &mut self.peer_process {
-            Some(link) if link.heir && !link.ready => {
-                link.ready = true;
-                let _ = link.queue.try_send(vec![HandoverMessage::Ready]);
+            Some(link) if link.is_successor && !link.is_ready => {
+                link.is_ready = true;
+                let _ = link.outgoing.try_send(vec![HandoverMessage::Ready]);
                 let events = self.events.clone();
                 tokio::task::spawn_local(async move {
-                    sleep(PATIENCE).await;
-                    let _ = events.send(Event::Handover(PeerProcess::Waited)).await;
+                    sleep(PEER_TIMEOUT).await;
+                    let _ = events.send(Event::Handover(PeerProcess::ConfirmationTimeout)).await;
                 });
             }
-            Some(link) if link.heir => {}
+            Some(link) if link.is_successor => {}
             _ => self.up()?,
         }
         Ok(())
     }
 
+    /// Handles an event of the link to the other process. Events of earlier links are ignored.
     pub(super) fn handle_peer_process(
         &mut self,
         now: Micros,
-        kin: PeerProcess,
+        event: PeerProcess,
     ) -> Result<(), Box<dyn std::error::Error>> {
-        let this = |link: &Option<Link>, n| link.as_ref().is_some_and(|l| l.n == n);
-        match kin {
-            PeerProcess::Hello { n, name, listen, welcome } => {
-                let same = name == self.config.name && listen == self.config.listen;
-                if self.peer_process.is_some() || self.stop_at.is_some() || !same {
-                    warn!("an heir was sent away: name {name}, same node {same}");
+        let is_current = |link: &Option<Link>, id| link.as_ref().is_some_and(|l| l.id == id);
+        match event {
+            PeerProcess::Hello { link_id, name, listen, welcome } => {
+                let is_same_node = name == self.config.name && listen == self.config.listen;
+                if self.peer_process.is_some() || self.stop_at.is_some() || !is_same_node {
+                    warn!("a successor was rejected: name {name}, same node {is_same_node}");
                     return Ok(());
                 }
                 info!("an heir is there");
-                let (queue, said) = mpsc::channel(QUEUE);
-                let known = to_wire(now, self.node.idempotency.share(now, Side::Incumbent));
-                let _ = queue.try_send(known);
-                self.peer_process = Some(Link { n, queue, heir: false, ready: false });
+                let (outgoing, outgoing_receiver) = mpsc::channel(QUEUE_BATCHES);
+                let known_writes = to_wire(now, self.node.idempotency.share(now, Side::Incumbent));
+                let _ = outgoing.try_send(known_writes);
+                self.peer_process =
+                    Some(Link { id: link_id, outgoing, is_successor: false, is_ready: false });
                 let listeners = self.listeners.iter().map(|o| (o.at, o.listener.clone())).collect();
-                let aside = self.service.with(|s| s.is_out_by_order());
-                let _ = welcome.send(Welcome { aside, listeners, queue: said });
+                let is_out_of_service = self.service.with(|s| s.is_out_by_order());
+                let _ = welcome.send(Welcome { is_out_of_service, listeners, outgoing: outgoing_receiver });
             }
-            PeerProcess::Said(n, message) if this(&self.peer_process, n) => match message {
+            PeerProcess::Message(id, message) if is_current(&self.peer_process, id) => match message {
                 HandoverMessage::Write(change) => {
                     let change = change.rebased(WIRE_NOW, now);
                     self.node.handle_input(now, Input::ChangeReceived(change), &mut self.outputs);
                 }
                 HandoverMessage::Ready => {
-                    if let Some(link) = self.peer_process.as_mut().filter(|l| !l.heir) {
+                    if let Some(link) = self.peer_process.as_mut().filter(|l| !l.is_successor) {
                         info!("the heir takes clients; a notice to leave replaces this process from here on");
-                        link.ready = true;
-                        let _ = link.queue.try_send(vec![HandoverMessage::TakeoverConfirmed]);
-                        self.node.set_machine_share(now, HALF, &mut self.outputs);
+                        link.is_ready = true;
+                        let _ = link.outgoing.try_send(vec![HandoverMessage::TakeoverConfirmed]);
+                        self.node.set_machine_share(now, MACHINE_SHARE_OF_EACH, &mut self.outputs);
                     }
                 }
-                HandoverMessage::TakeoverConfirmed if self.peer_process.as_ref().is_some_and(|l| l.heir) => {
+                HandoverMessage::TakeoverConfirmed
+                    if self.peer_process.as_ref().is_some_and(|l| l.is_successor) =>
+                {
                     self.up()?
                 }
                 _ => {}
             },
-            PeerProcess::Gone(n, why) if this(&self.peer_process, n) => {
-                let heir = self.peer_process.take().is_some_and(|l| l.heir);
+            PeerProcess::LinkEnded(id, reason) if is_current(&self.peer_process, id) => {
+                let was_successor = self.peer_process.take().is_some_and(|l| l.is_successor);
                 self.node.handle_input(now, Input::PeerProcessEnded, &mut self.outputs);
                 self.node.set_machine_share(now, 1.0, &mut self.outputs);
-                info!("the {} is gone: {why}", if heir { "process before this one" } else { "heir" });
-                if heir {
+                info!(
+                    "the {} is gone: {reason}",
+                    if was_successor { "process before this one" } else { "successor" }
+                );
+                if was_successor {
                     if self.node.is_started() && self.stop_at.is_none() {
                         self.up()?;
                     }
                     self.await_successors();
                 }
             }
-            PeerProcess::Waited
-                if self.peer_process.as_ref().is_some_and(|l| l.heir)
+            PeerProcess::ConfirmationTimeout
+                if self.peer_process.as_ref().is_some_and(|l| l.is_successor)
                     && !self.service.with(|s| s.is_ready()) =>
             {
                 warn!("the process before this one does not answer; taking clients");
                 self.up()?;
             }
-            PeerProcess::Said(..) | PeerProcess::Gone(..) | PeerProcess::Waited => {}
+            PeerProcess::Message(..) | PeerProcess::LinkEnded(..) | PeerProcess::ConfirmationTimeout => {}
         }
         Ok(())
     }
 
-    /// Waits for heirs of its own from now on.
+    /// Accepts successors of this process from now on.
     pub(super) fn await_successors(&mut self) {
-        if let Some(place) = socket_path(&self.config.name, self.config.listen) {
-            tokio::task::spawn_local(welcome(place, self.events.clone()));
+        if let Some(path) = socket_path(&self.config.name, self.config.listen) {
+            tokio::task::spawn_local(accept_successors(path, self.events.clone()));
         }
     }
 
-    /// Tells the other process, if there is one, of writes.
+    /// Sends the latest changes to writes to the other process, if there is one. A link whose queue is full is dropped.
     pub(super) fn send_write_changes(&mut self) {
         let Some(link) = &self.peer_process else { return };
         let changes = to_wire(process::now(), self.node.idempotency.changes());
-        if !changes.is_empty() && link.queue.try_send(changes).is_err() {
-            warn!("the other process of this node lags behind; the link is dropped");
+        if !changes.is_empty() && link.outgoing.try_send(changes).is_err() {
+            warn!("the queue to the other process of this node is full; the link is dropped");
             self.peer_process = None;
             let now = process::now();
             self.node.handle_input(now, Input::PeerProcessEnded, &mut self.outputs);
@@ -425,19 +454,20 @@
         }
     }
 
-    /// Whether a notice to leave would be a replacement.
+    /// Whether a successor is ready, so that a notice to leave makes this process hand over to it.
     pub(super) fn has_ready_successor(&self) -> bool {
-        self.peer_process.as_ref().is_some_and(|l| !l.heir && l.ready)
+        self.peer_process.as_ref().is_some_and(|l| !l.is_successor && l.is_ready)
     }
 
-    /// The earliest time at which this process may be killed, if the notice to leave comes now, replaced or not.
+    /// The earliest time at which the platform may kill this process if the notice to leave comes now, whether or not the
+    /// process is replaced.
     pub(super) fn earliest_kill(&self, now: Micros) -> Micros {
-        let most = self.settings.get().longest_deadline().min(LONGEST) + SLACK;
-        now + Micros::from_millis(self.config.stop_ms).min(most)
+        let longest_wait = self.settings.get().longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_MARGIN;
+        now + Micros::from_millis(self.config.stop_ms).min(longest_wait)
     }
 
-    /// Whether a replaced process has nothing more to do.
+    /// Whether this process is replaced, has no open request and has waited for late ones.
     pub(super) fn has_handed_over(&self, now: Micros) -> bool {
-        self.replaced_at.is_some_and(|at| now >= at + CROSSED) && self.node.is_idle()
+        self.replaced_at.is_some_and(|at| now >= at + LATE_REQUEST_GRACE) && self.node.is_idle()
     }
 }
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -247,7 +247,7 @@
             },
             "listening by itself",
         ),
-        ("one that hangs", |dir, at| answering(dir, at, b""), "no welcome"),
+        ("one that hangs", |dir, at| answering(dir, at, b""), "did not answer in time; listening by itself"),
     ];
     for (what, prepare, logged) in table {
         let (_farm, agent) = farm().await;
@@ -285,7 +285,11 @@
         assert!(check(node.msgpack).await, "two listeners serve");
     }
     let (_, good, log) = second.leave().await;
-    assert!(good && log.contains("has an heir already") && log.contains("drain: "), "{log}");
+    assert!(
+        good && log.contains("has a successor already, or is leaving; listening beside it")
+            && log.contains("drain: "),
+        "{log}"
+    );
     drop(heir);
     within("the death of the heir", async {
         while !check(node.msgpack).await {
