--- a/src/bin/holdlift/main.rs
+++ b/src/bin/holdlift/main.rs
@@ -18,7 +18,7 @@
 use holdlift::config::edge::Edge;
 use holdlift::config::fleet::Fleet;
 use holdlift::config::tiers::Tiers;
-use holdlift::log::{self, Form};
+use holdlift::log::{self, LogFormat};
 
 /// What a sub-command ends with.
 type Ended = Result<(), Box<dyn std::error::Error>>;
@@ -60,7 +60,7 @@
     log: String,
     /// The form of the log's lines.
     #[arg(long, value_name = "FORM", global = true, default_value = "text")]
-    log_format: Form,
+    log_format: LogFormat,
 }
 
 #[derive(Subcommand)]
@@ -103,7 +103,7 @@
 }
 
 fn start(cli: &Cli) -> Ended {
-    log::start(&cli.told.log, cli.told.log_format)?;
+    log::start_logging(&cli.told.log, cli.told.log_format)?;
     match &cli.command {
         Some(Command::Check) => check::run(&cli.told),
         Some(Command::Tiers) => tiers::run(&cli.told),
--- a/src/front/driver.rs
+++ b/src/front/driver.rs
@@ -23,7 +23,7 @@
 use crate::front::{Out, Reply, Session};
 use crate::interface::Micros;
 use crate::node::Input;
-use crate::stream::is_passing;
+use crate::stream::is_transient;
 use crate::time::process;
 
 /// How long a peer may take to read its last words.
@@ -295,7 +295,7 @@
         let mut scratch = scratch.borrow_mut();
         let mut read = self.stream.read_now(&mut scratch[..most]);
         for _ in 0..FAILURES_MAX {
-            if !read.as_ref().is_err_and(is_passing) {
+            if !read.as_ref().is_err_and(is_transient) {
                 break;
             }
             read = self.stream.read_now(&mut scratch[..most]);
@@ -390,7 +390,7 @@
         }
         self.failures += 1;
         self.paused = true;
-        (!is_passing(e) || self.failures > FAILURES_MAX).then_some(End::Reset)
+        (!is_transient(e) || self.failures > FAILURES_MAX).then_some(End::Reset)
     }
 
     fn report(&mut self, held_back: bool) -> Order {
@@ -513,7 +513,7 @@
                 match stream.try_write(out.chunk()) {
                     Ok(n) => out.advance(n),
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => stream.writable().await?,
-                    Err(e) if is_passing(&e) => tokio::time::sleep(FAILURE_PAUSE).await,
+                    Err(e) if is_transient(&e) => tokio::time::sleep(FAILURE_PAUSE).await,
                     Err(e) => return Err(e),
                 }
             }
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! Structured logging: text or JSON lines on standard error, and lines that a peer can cause only so often.
+//! Structured logging: text or JSON lines on standard error, and a rate limit for lines that a peer can cause.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -7,66 +7,71 @@
 use thiserror::Error;
 use tracing_subscriber::EnvFilter;
 
-/// The form of the lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
-pub enum Form {
-    /// For people.
+pub enum LogFormat {
+    /// Plain text, for reading on a terminal.
     #[default]
     Text,
-    /// One object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// A `--log` that is no filter.
+/// The value of `--log` is not a valid filter.
 #[derive(Debug, Error)]
 #[error("--log '{filter}': {reason}; right would be: warn, info, debug or info,holdlift::door=debug")]
-pub struct BadFilter {
+pub struct InvalidLogFilter {
     filter: String,
     reason: String,
 }
 
-/// Starts logging, once for the process.
+/// Starts logging to standard error. Later calls in the same process change nothing.
 ///
 /// # Errors
-/// A filter that can't be read.
-pub fn start(filter: &str, form: Form) -> Result<(), BadFilter> {
-    let bad = |reason: String| BadFilter { filter: filter.to_owned(), reason };
-    // The engine of a keeper tells of its every step at `info`: whoever wants that names it.
-    let quiet = if filter.contains("openraft") { "" } else { ",openraft=error" };
-    let levels = EnvFilter::try_new(format!("{filter}{quiet}")).map_err(|e| bad(e.to_string()))?;
+/// The filter is invalid.
+pub fn start_logging(filter: &str, format: LogFormat) -> Result<(), InvalidLogFilter> {
+    let invalid = |reason: String| InvalidLogFilter { filter: filter.to_owned(), reason };
+    // The consensus library of a replica logs each of its steps at `info`. These lines appear only if the filter names it.
+    let openraft_level = if filter.contains("openraft") { "" } else { ",openraft=error" };
+    let levels =
+        EnvFilter::try_new(format!("{filter}{openraft_level}")).map_err(|e| invalid(e.to_string()))?;
     let lines =
         tracing_subscriber::fmt().with_env_filter(levels).with_writer(std::io::stderr).with_ansi(false);
-    // A second start, as in tests, changes nothing.
-    let _ = match form {
-        Form::Text => lines.with_target(false).try_init(),
-        Form::Json => lines.json().try_init(),
+    // A second call, as in tests, fails and changes nothing.
+    let _ = match format {
+        LogFormat::Text => lines.with_target(false).try_init(),
+        LogFormat::Json => lines.json().try_init(),
     };
     Ok(())
 }
 
-/// Lets a line through once in a while and counts what it held back: peers must not be able to fill a log.
+/// Limits how often a line is written and counts the suppressed lines, so that peers cannot fill the log.
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
     last: Cell<Option<Instant>>,
-    held: Cell<u64>,
+    suppressed: Cell<u64>,
 }
 
 impl LogRateLimiter {
-    /// The shortest time between two lines.
-    pub const EVERY: Duration = Duration::from_secs(1);
+    /// The shortest time between two written lines.
+    pub const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
-    /// Whether a line may be written now, and how many were not since the last one.
-    pub fn now(&self) -> Option<u64> {
-        self.at(Instant::now())
+    /// `Some` if a line may be written now, with the number of lines suppressed since the last one.
+    pub fn permit(&self) -> Option<u64> {
+        self.permit_at(Instant::now())
     }
 
-    fn at(&self, now: Instant) -> Option<u64> {
-        if self.last.get().is_some_and(|l| now.saturating_duration_since(l) < LogRateLimiter::EVERY) {
-            self.held.set(self.held.get() + 1);
+    fn permit_at(&self, now: Instant) -> Option<u64> {
+        if self
+            .last
+            .get()
+            .is_some_and(|last| now.saturating_duration_since(last) < LogRateLimiter::MIN_INTERVAL)
+        {
+            self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
         self.last.set(Some(now));
-        Some(self.held.take())
+        Some(self.suppressed.take())
     }
 }
 
--- a/src/runtime/connections.rs
+++ b/src/runtime/connections.rs
@@ -40,7 +40,7 @@
             }
             Admission::Refuse(end) => {
                 *self.node.counters.closed.entry((wire.front(), end)).or_default() += 1;
-                if let Some(held) = self.log_limiter.now() {
+                if let Some(held) = self.log_limiter.permit() {
                     debug!(gate = %self.gates[gate.0].name, %from, held, "not taken in: {end}");
                 }
                 return;
@@ -48,7 +48,7 @@
         };
         let profile = self.doorman.with(|d| *d.profile(gate));
         if let Err(e) = tune(&stream, &profile)
-            && let Some(held) = self.log_limiter.now()
+            && let Some(held) = self.log_limiter.permit()
         {
             warn!(conn = id.0, held, "socket options: {e}");
         }
@@ -144,7 +144,7 @@
         let full = self.connections.get(&conn).is_some_and(|c| c.replies.try_send(reply).is_err());
         if full {
             // It does not read its answers: dropping the sender ends it.
-            if let Some(held) = self.log_limiter.now() {
+            if let Some(held) = self.log_limiter.permit() {
                 warn!(conn, held, "answers pile up; closed");
             }
             self.connections.remove(&conn);
--- a/src/runtime/console.rs
+++ b/src/runtime/console.rs
@@ -139,7 +139,7 @@
             // Most likely out of descriptors. One that was held back goes, and accepting again at once finds it free.
             Err(_) if held_back.release() => {}
             Err(e) => {
-                if let Some(held) = seldom.now() {
+                if let Some(held) = seldom.permit() {
                     warn!(held, "console: accept: {e}");
                 }
                 sleep(Duration::from_millis(20)).await;
--- a/src/runtime/door.rs
+++ b/src/runtime/door.rs
@@ -16,7 +16,7 @@
 use crate::door::GateId;
 use crate::door::profile::Profile;
 use crate::log::LogRateLimiter;
-use crate::stream::is_passing;
+use crate::stream::is_transient;
 
 /// A connection that has come in, with the permit that it holds until its descriptor is free again.
 pub(super) struct Newcomer {
@@ -42,7 +42,7 @@
 pub(super) fn listen(at: SocketAddr) -> std::io::Result<TcpListener> {
     let passes = |e: &std::io::Error| {
         let short = [Errno::MFILE, Errno::NFILE, Errno::ADDRNOTAVAIL];
-        is_passing(e) || short.iter().any(|errno| e.raw_os_error() == Some(errno.raw_os_error()))
+        is_transient(e) || short.iter().any(|errno| e.raw_os_error() == Some(errno.raw_os_error()))
     };
     for _ in 1..LISTENS_MAX {
         match try_listen(at) {
@@ -94,7 +94,7 @@
             // Out of descriptors, or the peer is gone already. Accepting again at once would spin.
             Err(e) => {
                 drop(way);
-                if let Some(held) = seldom.now() {
+                if let Some(held) = seldom.permit() {
                     warn!(gate = gate.0, held, "accept: {e}");
                 }
                 let _ = events.send(Event::ListenerFull(gate)).await;
--- a/src/runtime/fleet/mod.rs
+++ b/src/runtime/fleet/mod.rs
@@ -96,7 +96,7 @@
             }
             Err(e) => {
                 fleet.dropped.set(fleet.dropped.get() + 1);
-                if fleet.log_limiter.now().is_some() {
+                if fleet.log_limiter.permit().is_some() {
                     warn!("datagram from {from}: {e}; {} dropped so far", fleet.dropped.get());
                 }
             }
--- a/src/runtime/replica/datagrams.rs
+++ b/src/runtime/replica/datagrams.rs
@@ -36,7 +36,7 @@
             Ok(message) => handle_message(&server, &socket, &requests, message, from),
             Err(e) => {
                 dropped += 1;
-                if log_limiter.now().is_some() {
+                if log_limiter.permit().is_some() {
                     warn!("datagram from {from}: {e}; {dropped} dropped so far");
                 }
             }
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -1,11 +1,11 @@
-//! TCP streams whose system calls may be cut short, interrupted, or fail in passing.
+//! TCP streams that handle short, interrupted and temporarily failing system calls.
 //!
-//! | a read or write | here |
+//! | a read or write | how it is handled |
 //! |---|---|
-//! | does a part of its work | goes on until the system says that it would block |
-//! | EINTR | is made again |
-//! | ENOBUFS, ENOMEM, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ENETDOWN, EHOSTDOWN | on a caller's connection is made again after a pause, a bounded number of times ([`is_passing`]); on a link, which is made anew, is its end |
-//! | anything else | is the end of the connection |
+//! | transfers only a part of the bytes | is continued until the system reports that it would block |
+//! | fails with EINTR | is repeated |
+//! | fails with ENOBUFS, ENOMEM, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ENETDOWN or EHOSTDOWN | is repeated after a pause, a bounded number of times, on a caller's connection ([`is_transient`]); ends a link to another service, which is then connected again |
+//! | fails with any other error | ends the connection |
 
 use std::io;
 use std::ops::Deref;
@@ -16,11 +16,11 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether a failed read or write may work when it is made again: the system was short of something, or a route was away, or
-/// the connection is over and the next call says so.
+/// Whether a failed read or write may succeed when it is repeated. The system lacked a resource, or a route was down for a
+/// while; if the connection has ended instead, the next call reports it.
 #[must_use]
-pub fn is_passing(e: &io::Error) -> bool {
-    let passing = [
+pub fn is_transient(e: &io::Error) -> bool {
+    let transient = [
         Errno::INTR,
         Errno::NOBUFS,
         Errno::NOMEM,
@@ -30,16 +30,17 @@
         Errno::NETDOWN,
         Errno::HOSTDOWN,
     ];
-    passing.iter().any(|errno| e.raw_os_error() == Some(errno.raw_os_error()))
+    transient.iter().any(|errno| e.raw_os_error() == Some(errno.raw_os_error()))
 }
 
-/// A stream that is read and written until the system says that it would block. tokio's own takes a short read for the last one
-/// until there is news, which a call that was cut short for another reason does not bring.
+/// A stream that is read and written until the system reports that it would block. Tokio's stream takes a short read as a
+/// sign that the socket is drained and waits for the next readiness event. After a call that was short for another reason no
+/// such event comes.
 #[derive(Debug)]
 pub struct SteadyStream(TcpStream);
 
 impl SteadyStream {
-    /// Over this stream.
+    /// Wraps a connected stream.
     #[must_use]
     pub fn new(stream: TcpStream) -> SteadyStream {
         SteadyStream(stream)
@@ -55,11 +56,15 @@
 }
 
 impl AsyncRead for SteadyStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         loop {
-            match self.0.try_read(to.initialize_unfilled()) {
+            match self.0.try_read(buffer.initialize_unfilled()) {
                 Ok(n) => {
-                    to.advance(n);
+                    buffer.advance(n);
                     return Poll::Ready(Ok(()));
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => ready!(self.0.poll_read_ready(cx))?,
@@ -71,9 +76,9 @@
 }
 
 impl AsyncWrite for SteadyStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         loop {
-            match self.0.try_write(from) {
+            match self.0.try_write(bytes) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => ready!(self.0.poll_write_ready(cx))?,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 done => return Poll::Ready(done),
