--- a/src/end.rs
+++ b/src/end.rs
@@ -1,10 +1,10 @@
-//! Every way in which a connection can end, and what each proves about the work sent over it.
+//! The reasons for which a connection ends, and what each proves about the work sent over it.
 
 use thiserror::Error;
 
 use crate::interface::Outcome;
 
-/// Why a connection, of whatever kind and in whichever direction, is over.
+/// Why a connection of any kind, accepted or opened by this process, has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum End {
     /// The peer closed between two messages.
@@ -13,22 +13,22 @@
     /// The peer closed within a message.
     #[error("cut off within a message")]
     CutOff,
-    /// The transport broke.
+    /// The transport failed, for example with a TCP reset.
     #[error("reset")]
     Reset,
-    /// Nobody listens there.
+    /// The peer refused the connection: no process listens at the address.
     #[error("connection refused")]
     Refused,
     /// No connection could be made, for another reason than a refusal.
     #[error("unreachable")]
     Unreachable,
-    /// What was read is not the protocol.
+    /// The bytes read do not follow the protocol.
     #[error("malformed")]
     Malformed,
     /// A message is larger than allowed.
     #[error("oversized")]
     Oversized,
-    /// A message did not arrive whole in time.
+    /// A message did not arrive completely in time.
     #[error("message timed out")]
     Slow,
     /// The peer does not read what it is sent.
@@ -40,28 +40,28 @@
     /// This side closed it as idle.
     #[error("idle")]
     Idle,
-    /// This side closed it as nothing was ever asked on it.
+    /// This side closed it because no request ever came on it.
     #[error("nothing asked")]
     Silent,
-    /// This side closed it to make room for others, or took it in no more.
+    /// This side closed it to make room for other connections, or rejected it for lack of room.
     #[error("crowded out")]
     Crowded,
-    /// This side did not take it in, as its source has its share of connections.
+    /// This side rejected it because its source address has reached its limit of connections.
     #[error("source at its limit")]
     Excess,
-    /// This side closed it after too many messages in a row that were not fit to be taken in.
+    /// This side closed it after too many invalid messages in a row.
     #[error("unruly")]
     Unruly,
-    /// This side closed it as the process leaves or the connection has served its one request.
+    /// This side closed it because the process leaves, or because the connection has served its one request.
     #[error("finished")]
     Finished,
-    /// This side did not send what it was made for, as its share of the fleet's whole had ended.
+    /// This side did not send the call for which it was made, because its share of the fleet-wide budget had expired.
     #[error("share ended before anything was sent")]
     Lapsed,
 }
 
 impl End {
-    /// All ends, for counting.
+    /// All reasons, for counting.
     pub const ALL: [End; 17] = [
         End::Closed,
         End::CutOff,
@@ -82,21 +82,21 @@
         End::Lapsed,
     ];
 
-    /// What the module is told of work whose connection ended so before an answer. Only a connection that was
-    /// never made proves that nothing ran; `End` carries no such proof once a byte may have left.
+    /// The outcome reported to the decision module for work whose connection ended in this way before an answer. Only a
+    /// connection that was never made proves that nothing ran: once a byte may have been sent, no reason proves it.
     pub fn outcome(self) -> Outcome {
         match self {
             End::Refused | End::Unreachable => Outcome::Unreachable,
             End::Abandoned | End::Slow => Outcome::Late,
             End::Malformed | End::Oversized => Outcome::Bad,
             End::Closed | End::CutOff | End::Reset | End::Stalled | End::Finished => Outcome::Reset,
-            // Nothing was sent on it for this work.
+            // Nothing was sent for this work.
             End::Lapsed => Outcome::Full,
             End::Idle | End::Silent | End::Crowded | End::Excess | End::Unruly => Outcome::Reset,
         }
     }
 
-    /// The end that a failed attempt to connect stands for.
+    /// The reason for a failed attempt to connect.
     pub fn of_connect(e: &std::io::Error) -> End {
         if e.kind() == std::io::ErrorKind::ConnectionRefused { End::Refused } else { End::Unreachable }
     }
--- a/src/service/handover.rs
+++ b/src/service/handover.rs
@@ -2,12 +2,12 @@
 //!
 //! The process that serves is the *incumbent*, the one started beside it the *successor*. The successor sends `Hello` and gets
 //! a `Welcome` with the incumbent's listeners and service state, then the writes that the incumbent knows. It sends `Ready`
-//! once it could take clients, and takes them when it gets `TakeoverConfirmed`. From then on a notice to leave makes the
-//! incumbent hand over. Each sends the other its writes until one of them is gone, and the successor asks the incumbent about
+//! once it can take clients, and takes them when it gets `TakeoverConfirmed`. From then on a notice to leave makes the
+//! incumbent hand over. Each sends the other its writes until one of them ends, and the successor asks the incumbent about
 //! each write that an idempotency key links.
 //!
-//! Another version, another program and a message beyond the size limits are errors, which end the link; each process then
-//! goes on as if there were no other. Sockets and descriptors are the driver's.
+//! A message of another version or another protocol, or beyond the size limits, is an error that ends the link; each process
+//! then goes on as if there were no other. This module handles no sockets and no descriptors: `runtime::hot_restart` does.
 
 use std::net::SocketAddr;
 
@@ -19,20 +19,22 @@
 use crate::idempotency::{Attempt, Change, Fingerprint, IdempotencyKey, Progress};
 use crate::interface::Micros;
 
-/// The version of these messages. No other is understood.
+/// The protocol version. Messages of any other version are errors.
 pub const VERSION: u32 = 3;
-/// The time of sending on the clock that messages are written by, µs; see [`Attempt::rebased`].
+/// The time of sending in the times that messages carry, µs: they are relative to it, as each process has its own monotonic
+/// clock. See [`Attempt::rebased`].
 pub const WIRE_NOW: Micros = Micros::from_millis(10 * 86_400_000);
 /// Largest JSON head of a message, bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Largest result behind a head, bytes: a result of the platform has 4 KiB.
+/// Largest result after a head, bytes. A result of the platform has at most 4 KiB.
 const MAX_RESULT_BYTES: usize = 64 << 10;
 /// The two lengths in front of each message, bytes.
 const LENGTHS_BYTES: usize = 8;
-/// Most listeners that are passed on: the system takes 253 descriptors at a time, and a file names 32.
+/// Maximum number of listeners that are passed on. The system passes at most 253 descriptors in one message, and a
+/// configuration names at most 32 listeners.
 pub const MAX_LISTENERS: usize = 40;
 
-/// One message.
+/// One message between the incumbent and the successor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HandoverMessage {
     /// The successor's first message.
@@ -51,27 +53,27 @@
     },
     /// The incumbent has a successor already, or is leaving.
     Busy,
-    /// The successor could take clients.
+    /// The successor can take clients.
     Ready,
     /// The incumbent knows that the successor is ready: the successor takes clients, and a notice to leave hands over to it.
     TakeoverConfirmed,
-    /// About a write.
+    /// A change to a write, from either process.
     Write(Change),
 }
 
-/// Why a message can't be sent or read.
+/// Why a message cannot be sent or read.
 #[derive(Debug, Error)]
 pub enum HandoverError {
     /// The link broke.
     #[error("link: {0}")]
     Io(#[from] std::io::Error),
-    /// Longer than any message, bytes.
-    #[error("a message of {0} bytes")]
+    /// The message exceeds the size limits; its length in bytes.
+    #[error("a message of {0} bytes exceeds the size limits")]
     TooLong(usize),
-    /// Not one of these messages.
-    #[error("not a message: {0}")]
+    /// The bytes are not a message of this protocol.
+    #[error("not a handover message: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// Another version.
+    /// The peer speaks another protocol version.
     #[error("version {0}, not {VERSION}")]
     UnsupportedVersion(u32),
 }
@@ -155,7 +157,7 @@
     }
 }
 
-/// How far a write is, as it is sent: a good one's result follows the head.
+/// The progress of a write, as it is sent. The result of a good write follows the head.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum WireProgress {
@@ -164,7 +166,7 @@
     Bad,
 }
 
-/// The head that stands for a message, and the result that follows it; empty where there is none.
+/// The head of a message and the result that follows it, which is empty if there is none.
 fn to_head(message: HandoverMessage) -> (WireHead, Bytes) {
     let head = match message {
         HandoverMessage::Hello { name, listen } => WireHead::Hello { version: VERSION, name, listen },
@@ -190,7 +192,7 @@
     (head, Bytes::new())
 }
 
-/// The message that a head and its result stand for.
+/// The message of a head and the result that follows it.
 fn from_head(head: WireHead, result: Bytes) -> Result<HandoverMessage, HandoverError> {
     Ok(match head {
         WireHead::Hello { version, name, listen } => {
@@ -230,7 +232,7 @@
     Ok(())
 }
 
-/// Frames messages: two lengths of four bytes, a head in JSON, and a result where there is one.
+/// Frames messages: two lengths of four bytes, a head in JSON, and the result, which may be empty.
 #[derive(Debug, Default)]
 pub struct HandoverCodec;
 
--- a/src/service/lifecycle.rs
+++ b/src/service/lifecycle.rs
@@ -1,31 +1,31 @@
 //! The service state of one process: starting, in service, out of service, leaving, replaced.
 //!
 //! An order to go out of service is kept apart from the notice to leave: out of service, every request is still decided and
-//! served. A replaced process no longer reports for the node, as its successor does. The state does no I/O; whoever drives it
-//! opens the listeners and sends the reports.
+//! served. A replaced process no longer reports for the node, as its successor does. The state does no I/O; the runtime opens
+//! the listeners and sends the reports.
 
 use std::fmt;
 
-/// What a process is to the platform.
+/// The service state of a process, as the platform sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServiceState {
     /// The agent is not connected yet, or the listeners are not open.
     #[default]
     Starting,
-    /// It takes clients.
+    /// The process takes clients.
     InService,
-    /// It takes clients and asks to be left out. Requests are decided and served as always.
+    /// The process takes clients but asks the directory to send no more. Requests are decided and served as in service.
     OutOfService,
-    /// It has had the notice to leave.
+    /// The process has had the notice to leave.
     Leaving,
-    /// It has had the notice to leave, and a successor serves the node.
+    /// The process has had the notice to leave, and a successor serves the node.
     Replaced,
 }
 
-/// An operator's order.
+/// An operator's order to change the service state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceOrder {
-    /// Ask to be left out, and go on serving.
+    /// Ask the directory to send no more clients, and go on serving.
     OutOfService,
     /// Take clients as usual again.
     InService,
@@ -34,7 +34,7 @@
 /// Why an order is not carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceOrderError {
-    /// The process is leaving, which can't be undone.
+    /// The process is leaving, which cannot be undone.
     Leaving,
     /// A successor serves the node and takes its orders.
     Replaced,
@@ -54,7 +54,7 @@
 /// What this process reports to the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DirectoryReport {
-    /// Nothing: it does not report for the node yet, or any more.
+    /// No report: the process does not report for the node yet, or no longer does.
     Silent,
     /// The node takes work.
     Open,
@@ -130,7 +130,7 @@
             && !self.is_zone_out
     }
 
-    /// The report to the directory; `takes_work` is the decision module's own view. A replaced process reports nothing, as it
+    /// The report to the directory; `takes_work` is the decision module's own view of the node's health. A replaced process reports nothing, as it
     /// would contradict its successor.
     pub fn directory_report(&self, takes_work: bool) -> DirectoryReport {
         match self.state() {
--- a/src/service/lifecycle/tests.rs
+++ b/src/service/lifecycle/tests.rs
@@ -8,7 +8,7 @@
 }
 
 fn take_out(service: &mut Service) {
-    service.apply_order(ServiceOrder::OutOfService).expect("an order that is taken");
+    service.apply_order(ServiceOrder::OutOfService).expect("a process in service accepts the order");
 }
 
 /// A service with the state, readiness, health, directory report and answer to an order that it must have.
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn each_state_has_its_answers_and_takes_its_orders() {
+fn each_state_determines_checks_report_and_accepted_orders() {
     let cases = [
         Case {
             service: Service::default(),
@@ -78,7 +78,7 @@
             order: Err(ServiceOrderError::Leaving),
         },
         replaced_case(serving_after(|service| service.start_departure(true)), true),
-        // One that was out of service when it was replaced: so is the node.
+        // A process that was out of service when it was replaced: the node stays out of service.
         replaced_case(
             serving_after(|service| {
                 take_out(service);
@@ -86,7 +86,7 @@
             }),
             false,
         ),
-        // The first notice counts: a second one makes no plain leave of a replacement.
+        // Only the first notice counts: a second one does not turn a replacement into a plain departure.
         replaced_case(
             serving_after(|service| {
                 service.start_departure(true);
@@ -106,12 +106,12 @@
     assert_eq!(
         serving_after(|_| {}).directory_report(false),
         DirectoryReport::Closed,
-        "the module's own view counts too"
+        "the decision module's view of health counts in service"
     );
 }
 
 #[test]
-fn orders_repeat_and_outlive_the_start() {
+fn repeated_orders_succeed_and_an_order_before_the_start_holds_after_it() {
     let mut service = Service::default();
     for _ in 0..2 {
         assert_eq!(service.apply_order(ServiceOrder::OutOfService), Ok(()));
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -1,4 +1,5 @@
-//! Whether this process serves its node's clients, and how a successor takes over from it. Protocol and state without I/O.
+//! Whether this process serves its node's clients, and how a successor process takes over from it. Holds the protocol and the
+//! state, without I/O.
 
 pub mod handover;
 mod lifecycle;
--- a/src/time/mod.rs
+++ b/src/time/mod.rs
@@ -1,8 +1,8 @@
-//! Time as a node has it. No I/O: [`process`] reads the clocks.
+//! Monotonic and wall-clock time of a node, without I/O: [`process`] reads the clocks.
 //!
-//! Everything that is waited for, compared or counted is a [`Micros`] of a monotonic clock. Wall-clock time is a type of its own,
-//! [`WallTime`], and enters in one way only: as the `since` of a request, which [`Arrivals`] turns into an arrival on the
-//! monotonic clock once, as the request is read. So a step of the wall clock moves no deadline, window, wait or grace.
+//! Every time that is awaited, compared or counted is a [`Micros`] of a monotonic clock. Wall-clock time has its own type,
+//! [`WallTime`], and enters only as the `since` field of a request. [`Arrivals`] converts it into an arrival on the monotonic
+//! clock once, when the request is read. So a step of the wall clock moves no deadline, window, wait or grace period.
 
 pub mod process;
 
@@ -11,7 +11,8 @@
 
 use crate::interface::Micros;
 
-/// A time of the system's wall clock, µs since 1970. It may be stepped at any moment, and has no order with [`Micros`].
+/// A time of the system's wall clock, µs since 1970. The clock may be stepped at any time, and its times cannot be
+/// compared with [`Micros`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WallTime(pub u64);
 
@@ -23,45 +24,49 @@
     }
 }
 
-/// A change of the difference between the clocks from which on the wall clock counts as stepped, µs. Below it lie the slewing of
-/// a disciplined clock and the time between two readings.
+/// The wall clock counts as stepped if the difference between the clocks changes by at least this much, µs. The slewing of a
+/// synchronized clock and the time between two readings change it by less.
 const STEP_US: i64 = 20_000;
-/// Differences remembered. A request written before a step is read after it with the earlier one.
-const OFFSETS: usize = 4;
-/// The age that a request may have whose `since` lies ahead of the clock: how long bytes wait for a process that is not stopped.
+/// Maximum number of clock differences that are remembered. A request that is written before a step and read after it is
+/// dated with the earlier difference.
+const MAX_OFFSETS: usize = 4;
+/// The greatest age assumed for a request whose `since` lies ahead of the clock: how long bytes wait for a process that is not
+/// stopped.
 const UNKNOWN_AGE: Micros = Micros::from_millis(1_000);
-/// How long a plausible `since` shows that the clocks of callers and node agree.
-const AGREED: Micros = Micros::from_millis(60_000);
+/// For this long after a plausible `since` the clocks of the callers and the node count as in agreement.
+const AGREEMENT_SPAN: Micros = Micros::from_millis(60_000);
 
 /// When a request reached the machine, as closely as its `since` and the clock's steps allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// The likeliest time, which deadlines and the drain's grace count from.
+    /// The most likely time, from which deadlines and the grace period of the drain count.
     pub at: Micros,
-    /// The earliest time, by which a window is judged: it is not later than the time at which the request was written.
+    /// The earliest possible time, which is compared with idempotency windows. It is not later than the time at which the
+    /// request was written.
     pub earliest: Micros,
 }
 
 impl Arrival {
-    /// A request that says nothing of its time.
+    /// The arrival of a request that carries no time.
     #[must_use]
     pub fn now(now: Micros) -> Arrival {
         Arrival { at: now, earliest: now }
     }
 }
 
-/// Turns wall-clock times of requests into arrivals on the monotonic clock.
+/// Converts the wall-clock times of requests into arrivals on the monotonic clock.
 #[derive(Debug, Default)]
 pub struct WallClock {
-    /// Wall clock less monotonic clock, µs, the newest first.
+    /// Wall clock minus monotonic clock, µs, the newest first.
     offsets: Vec<i64>,
     steps: u64,
-    /// When a request last had an age that is possible.
+    /// When a request last had a plausible age.
     plausible: Option<Micros>,
 }
 
 impl WallClock {
-    /// Both clocks have been read. Gives the size of the step, µs, if the wall clock has been stepped.
+    /// Records a reading of both clocks. Returns the size of the step, µs, if the wall clock has been stepped since the last
+    /// reading.
     pub fn observe(&mut self, now: Micros, wall: WallTime) -> Option<i64> {
         let offset = signed(wall.0) - signed(now.0);
         let Some(newest) = self.offsets.first_mut() else {
@@ -77,22 +82,22 @@
         self.plausible = None;
         self.offsets.retain(|known| (known - offset).abs() >= STEP_US);
         self.offsets.insert(0, offset);
-        self.offsets.truncate(OFFSETS);
+        self.offsets.truncate(MAX_OFFSETS);
         Some(step)
     }
 
-    /// Steps seen.
+    /// The number of steps of the wall clock observed so far.
     #[must_use]
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// When a request that is read now reached the machine, which says it came `since` then; `longest` is the longest that
-    /// anybody waits for an answer.
+    /// When a request that is read now and carries the time `since` reached the machine. `longest` is the longest time that any
+    /// caller waits for an answer.
     ///
-    /// Of the ages that it has by the differences remembered, the least that is possible counts. Where all lie below zero it
-    /// counts from its reading. Where all are longer than anybody waits it is stale if the clocks have agreed of late, and else
-    /// its time is no time of this clock, and it counts from its reading.
+    /// Each remembered clock difference gives the request an age; the least age that is not negative counts. If all ages are
+    /// negative, the request counts as arrived when it is read. If the least age exceeds `longest`, the request is stale if the
+    /// clocks were in agreement recently; otherwise its time belongs to another clock, and it counts as arrived when it is read.
     pub fn arrival(&mut self, now: Micros, since: WallTime, longest: Micros) -> Arrival {
         let ages = self.offsets.iter().map(|offset| signed(now.0) + offset - signed(since.0));
         let ages: Vec<Micros> = ages.filter_map(|age| u64::try_from(age).ok()).map(Micros).collect();
@@ -104,32 +109,33 @@
             self.plausible = Some(now);
             return Arrival { at: now - least, earliest };
         }
-        let agreed = self.plausible.is_some_and(|at| now <= at + AGREED);
-        Arrival { at: if agreed { now - least } else { now }, earliest }
+        let clocks_agree = self.plausible.is_some_and(|at| now <= at + AGREEMENT_SPAN);
+        Arrival { at: if clocks_agree { now - least } else { now }, earliest }
     }
 }
 
+/// A time as a signed number, µs. It is capped so that differences of two times cannot overflow.
 fn signed(us: u64) -> i64 {
     i64::try_from(us).unwrap_or(i64::MAX / 4).min(i64::MAX / 4)
 }
 
-/// The process's [`WallClock`], as all connections share it.
+/// The [`WallClock`] of the process, shared by all its connections.
 #[derive(Clone, Debug, Default)]
 pub struct Arrivals(Rc<RefCell<WallClock>>);
 
 impl Arrivals {
-    /// See [`WallClock::observe`].
+    /// Records a reading of both clocks; see [`WallClock::observe`].
     pub fn observe(&self, now: Micros, wall: WallTime) -> Option<i64> {
         self.0.borrow_mut().observe(now, wall)
     }
 
-    /// See [`WallClock::arrival`].
+    /// Dates a request that is read now; see [`WallClock::arrival`].
     #[must_use]
     pub fn arrival(&self, now: Micros, since: WallTime, longest: Micros) -> Arrival {
         self.0.borrow_mut().arrival(now, since, longest)
     }
 
-    /// See [`WallClock::steps`].
+    /// The number of steps observed; see [`WallClock::steps`].
     #[must_use]
     pub fn steps(&self) -> u64 {
         self.0.borrow().steps()
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -7,21 +7,22 @@
     Micros::from_millis(x)
 }
 
-/// A node's clocks, and callers who read the wall clock that is not stepped, or the one that is.
-struct Clocks {
+/// A node's clocks in simulated time. Callers read the same wall clock as the node, or one that is not stepped.
+struct SimulatedClocks {
     clock: WallClock,
     /// Real time since the start, ms.
     at: u64,
-    /// What the wall clock is ahead by, ms.
+    /// By how much steps have put the wall clock ahead, ms.
     ahead: i64,
 }
 
+/// The wall clock at the start, ms since 1970.
 const WALL_MS: i64 = 1_764_576_000_000;
 
-impl Clocks {
-    fn new() -> Clocks {
-        let mut clocks = Clocks { clock: WallClock::default(), at: 10_000_000, ahead: 0 };
-        clocks.look();
+impl SimulatedClocks {
+    fn new() -> SimulatedClocks {
+        let mut clocks = SimulatedClocks { clock: WallClock::default(), at: 10_000_000, ahead: 0 };
+        clocks.observe();
         clocks
     }
 
@@ -29,14 +30,14 @@
         WallTime::from_millis((WALL_MS + self.at as i64 + self.ahead) as u64)
     }
 
-    fn look(&mut self) {
+    fn observe(&mut self) {
         let wall = self.wall();
         self.clock.observe(ms(self.at), wall);
     }
 
     fn step(&mut self, ms: i64) {
         self.ahead += ms;
-        self.look();
+        self.observe();
     }
 
     /// The age of a request that is read now, ms.
@@ -48,79 +49,80 @@
 
 const STEPS_MS: [i64; 8] = [30, -30, 2_000, -2_000, 5_000, -5_000, HOUR_MS, -HOUR_MS];
 
-/// A request is written, the clock is stepped, the request is read: its age is the real one, whichever way the step went.
+/// A request is written, the clock is stepped in either direction, and the request is read. Its age must be the real one.
 #[test]
-fn a_step_between_writing_and_reading_changes_no_age() {
+fn a_clock_step_between_writing_and_reading_a_request_does_not_change_its_age() {
     for step in STEPS_MS {
-        let mut c = Clocks::new();
-        let since = c.wall();
-        c.at += 15;
-        c.step(step);
-        assert_eq!(c.age(since), 15, "stepped by {step}");
+        let mut clocks = SimulatedClocks::new();
+        let since = clocks.wall();
+        clocks.at += 15;
+        clocks.step(step);
+        assert_eq!(clocks.age(since), 15, "stepped by {step}");
     }
 }
 
-/// After the step callers may write by the stepped clock, which is that of the whole machine, or by another's.
+/// After a step callers may use the stepped clock, if they run on the same machine, or a clock that was not stepped.
 #[test]
-fn requests_behind_a_step_have_their_age_by_either_clock() {
+fn requests_after_a_step_have_the_right_age_by_the_stepped_and_the_unstepped_clock() {
     for step in STEPS_MS {
-        for theirs_too in [true, false] {
-            let mut c = Clocks::new();
-            c.step(step);
-            c.at += 500;
-            c.look();
-            let ahead = c.ahead;
-            c.ahead = if theirs_too { ahead } else { 0 };
-            let since = c.wall();
-            c.ahead = ahead;
-            c.at += 20;
-            c.look();
-            assert_eq!(c.age(since), 20, "stepped by {step}, callers too: {theirs_too}");
+        for callers_too in [true, false] {
+            let mut clocks = SimulatedClocks::new();
+            clocks.step(step);
+            clocks.at += 500;
+            clocks.observe();
+            let ahead = clocks.ahead;
+            clocks.ahead = if callers_too { ahead } else { 0 };
+            let since = clocks.wall();
+            clocks.ahead = ahead;
+            clocks.at += 20;
+            clocks.observe();
+            assert_eq!(clocks.age(since), 20, "stepped by {step}, callers too: {callers_too}");
         }
     }
 }
 
-/// Times that cannot be: ahead of the clock, and far behind it while nothing shows that the clocks agree.
+/// Implausible times: ahead of the clock, or far behind it while no earlier request shows that the clocks agree.
 #[test]
-fn an_age_that_cannot_be_counts_from_the_reading() {
-    let mut c = Clocks::new();
-    let ahead = WallTime::from_millis(c.wall().0 / 1_000 + 700);
-    assert_eq!(c.age(ahead), 0);
-    let hour_ago = WallTime::from_millis(c.wall().0 / 1_000 - HOUR_MS as u64);
-    assert_eq!(c.age(hour_ago), 0);
-    assert_eq!(c.age(WallTime(0)), 0);
-    assert_eq!(c.age(WallTime(u64::MAX)), 0);
+fn a_request_with_an_implausible_time_counts_as_arrived_when_it_is_read() {
+    let mut clocks = SimulatedClocks::new();
+    let ahead = WallTime::from_millis(clocks.wall().0 / 1_000 + 700);
+    assert_eq!(clocks.age(ahead), 0);
+    let hour_ago = WallTime::from_millis(clocks.wall().0 / 1_000 - HOUR_MS as u64);
+    assert_eq!(clocks.age(hour_ago), 0);
+    assert_eq!(clocks.age(WallTime(0)), 0);
+    assert_eq!(clocks.age(WallTime(u64::MAX)), 0);
 }
 
-/// A process that was stopped for longer than anybody waits reads what is stale by then, and takes it for that.
+/// A process that was suspended for longer than any caller waits reads a stale request. It must not take the request's time
+/// for that of another clock.
 #[test]
-fn what_is_stale_is_told_from_another_clock() {
-    let mut c = Clocks::new();
-    let fresh = c.wall();
-    c.at += 10;
-    assert_eq!(c.age(fresh), 10);
-    let written = c.wall();
-    c.at += 9_000;
-    c.look();
-    assert_eq!(c.age(written), 9_000);
+fn a_stale_request_keeps_its_age_while_the_clocks_agree() {
+    let mut clocks = SimulatedClocks::new();
+    let fresh = clocks.wall();
+    clocks.at += 10;
+    assert_eq!(clocks.age(fresh), 10);
+    let written = clocks.wall();
+    clocks.at += 9_000;
+    clocks.observe();
+    assert_eq!(clocks.age(written), 9_000);
 }
 
 proptest::proptest! {
-    /// However the clock is stepped, the earliest arrival is never later than the writing.
+    /// However the clock is stepped, the earliest arrival is not later than the time at which the request was written.
     #[test]
-    fn the_earliest_arrival_is_not_after_the_writing(
+    fn the_earliest_arrival_is_not_later_than_the_writing_of_the_request(
         steps in proptest::collection::vec((-HOUR_MS..HOUR_MS, 1..4_000u64), 0..3), waits in 0..900u64,
     ) {
-        let mut c = Clocks::new();
+        let mut clocks = SimulatedClocks::new();
         for (step, pause) in steps {
-            c.step(step);
-            c.at += pause;
+            clocks.step(step);
+            clocks.at += pause;
         }
-        c.look();
-        let (since, written) = (c.wall(), ms(c.at));
-        c.at += waits;
-        c.look();
-        let arrival = c.clock.arrival(ms(c.at), since, LONGEST);
+        clocks.observe();
+        let (since, written) = (clocks.wall(), ms(clocks.at));
+        clocks.at += waits;
+        clocks.observe();
+        let arrival = clocks.clock.arrival(ms(clocks.at), since, LONGEST);
         proptest::prop_assert!(arrival.earliest <= written);
         proptest::prop_assert!(arrival.earliest <= arrival.at);
     }
