--- a/src/node/coalescing.rs
+++ b/src/node/coalescing.rs
@@ -41,7 +41,8 @@
         self.remove_if_settled(now, id, out);
     }
 
-    /// Has a queued request wait for the result of the one it repeats, or gives it that result where it exists.
+    /// Makes a queued request wait for the result of the request that it repeats, or answers it with that result if the
+    /// result exists.
     pub(super) fn start_join(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.is_answered || request.state != ExecutionState::Queued {
--- a/src/node/counters.rs
+++ b/src/node/counters.rs
@@ -1,4 +1,4 @@
-//! What the node receives, sends and answers, as counts.
+//! Counters of the requests, runs and calls of a node.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,8 +6,8 @@
 use super::message::{Answer, FailureReason, FrontId};
 use crate::end::End;
 
-/// Counts since the start, printed on request and at exit. `Display` prints each count under the name that operators
-/// know it by, which is not always the field's name.
+/// Counts since the start, printed on request and at exit. `Display` prints each count under its established name, which
+/// operators' tools match and which is not always the field's name.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     /// Requests read, by front. Printed as `asked.FRONT`.
@@ -30,7 +30,7 @@
     pub backstop_answers: u64,
     /// Runs launched.
     pub launched: u64,
-    /// Launches withheld, as they would have run a write twice. Printed as `withheld`.
+    /// Launches withheld because they would have run a write twice. Printed as `withheld`.
     pub withheld_launches: u64,
     /// Runs paused. Printed as `paused`.
     pub paused_runs: u64,
@@ -48,9 +48,9 @@
     pub refused_commands: u64,
     /// Connections made to the agent. Printed as `links`.
     pub agent_links: u64,
-    /// Configurations read again and applied.
+    /// Changed configurations that were read and applied.
     pub reloads: u64,
-    /// Configurations read again and rejected.
+    /// Changed configurations that were read and rejected.
     pub reloads_failed: u64,
     /// Writes about which the incumbent process was asked. Printed as `claims`.
     pub incumbent_queries: u64,
--- a/src/node/deadlines.rs
+++ b/src/node/deadlines.rs
@@ -1,7 +1,6 @@
-//! Everything the core waits for with a deadline: one sorted set holds all of it.
+//! The deadlines of everything that the core waits for, in one sorted set.
 //!
-//! This file decides nothing about requests. It turns an expired deadline into the event, output or answer that the
-//! expiry stands for.
+//! This module makes no decisions about requests. It turns an expired deadline into an event, an output or an answer.
 
 use bytes::Bytes;
 
@@ -9,7 +8,7 @@
 use super::{Node, SAMPLE_TIMEOUT};
 use crate::interface::{Event, Gauges, Micros, Outcome, RequestId, TimerToken};
 
-/// What is due at some time. The order of the variants is the order in which deadlines of one instant expire.
+/// What happens when a deadline expires. The order of the variants is the order in which deadlines of one instant expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Deadline {
     /// A timer of the decision module fires.
@@ -29,7 +28,7 @@
 }
 
 impl Node {
-    /// Carries out what an expired deadline stands for.
+    /// Handles an expired deadline.
     pub(super) fn handle_deadline(&mut self, now: Micros, deadline: Deadline, out: &mut Vec<Output>) {
         match deadline {
             Deadline::PolicyTimer(token) => self.policy_timer_expired(now, token, out),
@@ -55,7 +54,7 @@
         }
     }
 
-    /// A timer of the decision module waits for the agent's gauges, where there is an agent.
+    /// Fires a timer of the decision module. If there is an agent, the timer first waits for the agent's gauges.
     fn policy_timer_expired(&mut self, now: Micros, token: TimerToken, out: &mut Vec<Output>) {
         if self.options.has_agent {
             self.next_tag += 1;
@@ -69,7 +68,7 @@
         }
     }
 
-    /// Answers a request in place of a decision module that has not.
+    /// Answers a request that the decision module has not answered in time.
     fn answer_deadline_expired(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
         if self.requests.get(&id).is_some_and(|request| !request.is_answered) {
             self.counters.backstop_answers += 1;
@@ -82,7 +81,7 @@
     fn call_deadline_expired(&mut self, now: Micros, call_id: u64, out: &mut Vec<Output>) {
         let request = self.calls.get(&call_id).and_then(|(id, _)| self.requests.get(id));
         if request.is_some_and(|request| request.is_prefetching) {
-            // The replies that have come by now may suffice.
+            // The replies received so far may suffice.
             out.push(Output::EndPrefetchStage(call_id));
         } else if self.calls.contains_key(&call_id) {
             out.push(Output::AbandonCall(call_id));
--- a/src/node/downstream_calls.rs
+++ b/src/node/downstream_calls.rs
@@ -9,8 +9,8 @@
 use crate::interface::{Effect, Event, Micros, Outcome, RequestId};
 
 impl Node {
-    /// Places the call that a request waits for, to be given up at `deadline`; zero stands for the class's deadline
-    /// from now.
+    /// Places the call that a request waits for. The call is abandoned at `deadline`; a deadline of zero means the class's
+    /// deadline, counted from now.
     pub(super) fn place_call(&mut self, now: Micros, id: RequestId, deadline: Micros, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.call_id.is_none()) else {
             return;
@@ -35,7 +35,7 @@
         });
     }
 
-    /// A call has ended. A reply goes to the run at once; after a failure the decision module chooses what follows.
+    /// Handles the end of a call. A reply goes to the run at once; after a failure the decision module chooses what follows.
     pub(super) fn call_ended(
         &mut self,
         now: Micros,
--- a/src/node/gauges.rs
+++ b/src/node/gauges.rs
@@ -5,11 +5,11 @@
 use super::{DEEP_CHECK_TIMEOUT, Node};
 use crate::interface::{Event, Gauges, Micros};
 
-/// Span over which the use of server slots is averaged, as the agent does with its cores.
+/// The use of server slots is averaged over this span, as the agent does with its cores.
 const SLOT_WINDOW: Micros = Micros::from_millis(500);
 
 impl Node {
-    /// Answers a health check from the stored state, or has the agent do work for a deep one.
+    /// Answers a health check from the stored state, or asks the agent to do work for a deep one.
     pub(super) fn check_health(
         &mut self,
         now: Micros,
@@ -28,7 +28,7 @@
         out.push(Output::HealthResponse(route, self.is_started() && self.is_healthy, self.load_signal));
     }
 
-    /// The agent has answered a deep health check. Answers to unknown checks are ignored.
+    /// Handles the agent's answer to a deep health check. Answers to unknown checks are ignored.
     pub(super) fn deep_check_ended(&mut self, tag: &str, succeeded: bool, out: &mut Vec<Output>) {
         let Some(check) = parse_tag(tag, 'e') else { return };
         let Some((route, until)) = self.deep_checks.remove(&check) else { return };
@@ -36,18 +36,19 @@
         out.push(Output::HealthResponse(route, succeeded && self.is_healthy, self.load_signal));
     }
 
-    /// The agent has sent the gauges for a timer. Gauges that come too late are ignored.
+    /// Handles the gauges that the agent has sent for a timer. Gauges that come too late are ignored.
     pub(super) fn gauges_sampled(&mut self, now: Micros, tag: &str, agent_gauges: Gauges) {
         let Some(sample) = parse_tag(tag, 's') else { return };
         let Some((token, until)) = self.gauge_samples.remove(&sample) else { return };
-        // No wake-up is needed for a sample that has come.
+        // The sample has arrived, so its timeout must not wake the node.
         self.deadlines.remove(&(until, Deadline::GaugeSample(sample)));
         let gauges = self.combine_gauges(now, Some(agent_gauges));
         self.events.push(Event::Timer(token, gauges));
     }
 
-    /// The gauges for the decision module: the agent's, where there is one, and the part of servers with slots. That
-    /// part is an estimate from slots in use over slots declared, as nothing measures the servers' cores.
+    /// The gauges for the decision module: those of the agent, if there is one, plus the share of servers that
+    /// declare slots. That share is estimated as slots in use over slots declared, because nothing measures the servers'
+    /// cores.
     pub(super) fn combine_gauges(&mut self, now: Micros, agent_gauges: Option<Gauges>) -> Gauges {
         if self.options.server_slots == 0 || (agent_gauges.is_some() && self.options.servers_share_cores) {
             return agent_gauges.unwrap_or_default();
@@ -70,7 +71,7 @@
     }
 }
 
-/// The number in a tag that this core has made: one letter for the kind, then the number.
+/// The number in a tag that this core has issued: one letter for the kind, then the number.
 fn parse_tag(tag: &str, kind: char) -> Option<u64> {
     tag.strip_prefix(kind)?.parse().ok()
 }
--- a/src/node/intake.rs
+++ b/src/node/intake.rs
@@ -1,4 +1,4 @@
-//! Requests that are taken in, and writes about which the incumbent process of this node is asked first.
+//! Intake of requests, and queries to the incumbent process of this node about writes.
 //!
 //! During a restart two processes serve one node. The successor asks the incumbent before it runs a write, so that two
 //! attempts of one write that reach both processes run once.
@@ -14,22 +14,22 @@
 use crate::idempotency::{Accepted, Attempt, Change, Fingerprint, IdempotencyKey, Received, Verdict};
 use crate::interface::{ClassSettings, Effect, Event, Micros, Request, RequestId};
 
-/// How long the incumbent's answer is awaited. It answers within its next turn, a few ms; when it stalls for longer the
-/// caller is better served elsewhere.
+/// How long the incumbent's answer is awaited. The incumbent answers in its next event loop iteration, within a few ms; if it
+/// stalls for longer, the caller is better served by another node.
 const INCUMBENT_QUERY_TIMEOUT: Micros = Micros::from_millis(250);
 /// The answer before the decision module has started.
 const NOT_STARTED: Answer = Answer::Refused { retry_after: Micros(0), is_final: false };
-/// The answer when the idempotency store is full: another node may have room, and this one has some later.
+/// The answer when the idempotency store is full. Another node may have room now, and this node will have room later.
 const STORE_FULL: Answer = Answer::Refused { retry_after: Micros::from_millis(1_000), is_final: false };
 /// The answer to a request that is read after its caller's deadline.
 const EXPIRED: Answer = Answer::Refused { retry_after: Micros(0), is_final: true };
-/// How much longer than its class says an idempotency window lasts. The protocol allows each time limit this much.
+/// How much longer than its class's setting an idempotency window lasts. The protocol allows each time limit this much.
 pub(super) const WINDOW_SLACK: Micros = Micros::from_millis(50);
-/// How much later than its deadline a request may still be read and count as one in time.
+/// How long after its deadline a request may be read and still count as in time.
 const LATE_READ_MARGIN: Micros = Micros::from_millis(1_000);
 
 impl Node {
-    /// Takes in a request that a front has read: answers it at once, asks the incumbent about it, or passes it to the
+    /// Handles a request that a front has read: answers it at once, asks the incumbent about it, or passes it to the
     /// decision module.
     pub(super) fn receive_request(
         &mut self,
@@ -46,7 +46,7 @@
         let class = &self.settings.classes[incoming.class.0.min(self.settings.classes.len() - 1)];
         let due = due_time(now, &incoming, class);
         let request = policy_request(now, id, &incoming, class, due);
-        // Two runs under one name could not be told apart.
+        // Two runs with the same name could not be distinguished.
         let is_valid = Event::Arrived(request.clone()).validate(&self.settings).is_ok();
         if !is_valid || self.by_name.contains_key(&incoming.name) {
             let answer = Answer::Failed(FailureReason::BadRequest);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The answer to a request that needs no run: a repeat of a known write, or one whose caller has left.
+    /// The answer to a request that needs no run: a repeat of a known write, or a request whose deadline has passed.
     fn answer_at_once(&mut self, now: Micros, attempt: Option<&Attempt>, due: Micros) -> Option<Answer> {
         let mut may_have_run = false;
         if let Some(attempt) = attempt {
@@ -88,12 +88,12 @@
         if due > now {
             return None;
         }
-        // A refusal would state that nothing ran, but the first attempt may run.
+        // A refusal states that nothing ran, but the first attempt may have run.
         Some(if may_have_run { Answer::Failed(FailureReason::DeadlineExceeded) } else { EXPIRED })
     }
 
-    /// Enters an attempt in the idempotency store. A name that only this process knows is not shared with the other
-    /// process, whose own names may be the same.
+    /// Records an attempt in the idempotency store. A name that is unique in this process only is not shared with the other
+    /// process, which may have issued the same name.
     fn accept_attempt(&mut self, now: Micros, scope: ReferenceScope, attempt: Attempt) -> Accepted {
         match scope {
             ReferenceScope::AllProcesses => self.idempotency.accept(now, attempt),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Answers a request that has not entered the table.
+    /// Answers a request that is not in the request table.
     fn answer_untabled(&mut self, name: &str, route: ResponseRoute, answer: Answer, out: &mut Vec<Output>) {
         debug!(request = %name, "answered: {answer}");
         self.counters.count_answer(&answer);
@@ -182,7 +182,7 @@
 
     // ---- queries to the incumbent process ----
 
-    /// The other process of this node has reported a change to a write.
+    /// Handles a change to a write that the other process of this node has reported.
     pub(super) fn receive_change(&mut self, now: Micros, change: Change, out: &mut Vec<Output>) {
         match self.idempotency.receive(now, change) {
             Received::Noted => {}
@@ -195,15 +195,15 @@
         }
     }
 
-    /// The other process has ended: every write that it was asked about may go on.
+    /// Handles the end of the other process: every write that awaits its answer may proceed.
     pub(super) fn peer_process_ended(&mut self, now: Micros, out: &mut Vec<Output>) {
         for name in self.idempotency.part() {
             self.write_granted(now, &name, out);
         }
     }
 
-    /// A write about which the other process was asked may go on, unless the latest change reported by that process
-    /// was an attempt of the same write.
+    /// Lets a write that awaits the other process's answer proceed, unless the latest change reported by that process was
+    /// an attempt of the same write.
     fn write_granted(&mut self, now: Micros, name: &str, out: &mut Vec<Output>) {
         let Some(&id) = self.by_name.get(name) else { return };
         let Some(request) = self.incumbent_queries.remove(&id) else { return };
@@ -218,7 +218,7 @@
         attempt.map_or(Verdict::New, |attempt| self.idempotency.verdict_by_key(attempt))
     }
 
-    /// The other process has accepted the write that this one repeats.
+    /// Answers a request that repeats a write which the other process has accepted.
     fn answer_repeat_of_peer(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
         let verdict = self.verdict_of(id);
         self.incumbent_queries.remove(&id);
@@ -226,7 +226,7 @@
         self.remove_if_settled(now, id, out);
     }
 
-    /// The incumbent has not answered in time. Nothing ran here, and nothing will.
+    /// Answers a request for which the incumbent has not answered a query in time. Its work never runs in this process.
     pub(super) fn incumbent_query_expired(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
         if self.incumbent_queries.remove(&id).is_none() {
             return;
@@ -234,7 +234,7 @@
         self.counters.incumbent_query_timeouts += 1;
         let attempt = self.requests.get(&id).and_then(|request| request.attempt.as_ref());
         let answer = if attempt.is_some_and(|attempt| attempt.key.is_some()) {
-            // Another attempt with its key may have run there, so it must not be refused as one that did not run.
+            // Another attempt with the same key may have run there, so the answer must not state that the write never ran.
             Answer::Failed(FailureReason::DeadlineExceeded)
         } else {
             Answer::Refused { retry_after: INCUMBENT_QUERY_TIMEOUT, is_final: false }
--- a/src/node/launch.rs
+++ b/src/node/launch.rs
@@ -1,7 +1,7 @@
 //! Runs of requests: started, paused, resumed and ended.
 //!
-//! [`Node::launch`] is the only place from which a run leaves for a worker. The idempotency store is asked there, so
-//! that no write runs twice.
+//! [`Node::launch`] is the only function that sends a run to a worker. It consults the idempotency store, so that no write
+//! runs twice.
 
 use bytes::Bytes;
 use tracing::debug;
@@ -16,7 +16,7 @@
 /// How a run ended, as its worker reports it.
 pub(super) struct RunEnd {
     pub(super) outcome: Outcome,
-    /// How long it took, where the worker measures that.
+    /// How long the run took, if the worker measures that.
     pub(super) duration: Option<Micros>,
     /// Empty unless the outcome is good.
     pub(super) result: Bytes,
@@ -30,7 +30,7 @@
 }
 
 impl Node {
-    /// Starts a queued request, with its prefetch where it needs one, or resumes a paused run.
+    /// Starts a queued request, with its prefetch if it needs one, or resumes a paused run.
     pub(super) fn run(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.is_answered) else {
             return self.events.push(Event::RunEnded(id, Outcome::Moot, Micros(0)));
@@ -83,7 +83,7 @@
         self.remove_if_settled(now, id, out);
     }
 
-    /// A run has ended. Its result goes to its caller, to the requests that joined it, and to the stores.
+    /// Handles the end of a run. The result goes to its caller, to the requests that joined it, and to the stores.
     pub(super) fn run_ended(&mut self, now: Micros, id: RequestId, end: RunEnd, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.state != ExecutionState::Running {
@@ -133,12 +133,12 @@
         } else {
             self.idempotency.ended(name, result);
         }
-        // The start is known here and the duration there. The run began no sooner than it was asked for, so this
-        // time is never too late.
+        // The core knows when it sent the launch, and the worker how long the run took. The run cannot have begun before
+        // the launch, so this time is never later than the real end.
         let made_at = end.duration.map_or(now, |duration| (since + duration).min(now));
         let shared = result.map(|result| CachedRead { result: result.clone(), made_at });
         self.shared_reads.record_end(id, shared.clone());
-        // The decision module tells four ways apart in which a run ends.
+        // The decision module distinguishes four outcomes of a run.
         let reported = match end.outcome {
             Outcome::Good | Outcome::Cancelled | Outcome::Moot => end.outcome,
             _ => Outcome::Bad,
--- a/src/node/message.rs
+++ b/src/node/message.rs
@@ -1,4 +1,4 @@
-//! The inputs and outputs of the core: requests, attempts and outcomes, in no wire format.
+//! The inputs and outputs of the core, independent of any wire format.
 
 use std::fmt;
 
@@ -8,8 +8,8 @@
 use crate::interface::{ClassId, Gauges, Micros, Outcome, TenantId};
 use crate::time::Arrival;
 
-/// A front, by name. Answers go back through the front that a request came by, and results, whose form is that of one
-/// front's wire, are shared within it.
+/// The name of a front. Answers go back through the front by which the request came. Results are shared within one front
+/// only, as they are encoded in its wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FrontId(pub &'static str);
 
@@ -19,12 +19,12 @@
     }
 }
 
-/// What does the work of a request.
+/// The kind of worker that runs a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Worker {
     /// The agent on this machine, which measures its cores.
     Agent,
-    /// Servers that declare slots. Nothing measures their cores.
+    /// Servers that declare slots. The use of their cores is not measured.
     Servers,
 }
 
@@ -55,7 +55,7 @@
     pub name: String,
     /// In which processes that name is unique.
     pub reference_scope: ReferenceScope,
-    /// What does its work.
+    /// The kind of worker that runs it.
     pub worker: Worker,
     /// Whether calls are made for it before its run begins.
     pub needs_prefetch: bool,
@@ -65,7 +65,7 @@
     pub tenant: Option<TenantId>,
     /// Whether it exceeds its tenant's quota over the whole fleet.
     pub is_over_quota: bool,
-    /// In a class that deduplicates by key the idempotency key; in other classes what a read is about.
+    /// In a class that deduplicates by key, the idempotency key; in other classes, the subject of a read.
     pub key: Option<String>,
     /// Expected work on a standard core.
     pub expected_work: Option<Micros>,
@@ -79,7 +79,7 @@
     pub caller: u32,
     /// When it reached the machine.
     pub arrived: Arrival,
-    /// How long its caller waits from then on, where the caller says; never longer than its class's deadline.
+    /// How long its caller waits, counted from the arrival, if the caller states it; at most its class's deadline.
     pub time_limit: Option<Micros>,
     /// Its body, unchanged.
     pub body: Bytes,
@@ -105,7 +105,7 @@
 }
 
 impl FailureReason {
-    /// The word for this reason in counters and log lines.
+    /// The name of this reason in counters and log lines.
     pub(super) fn printed_name(self) -> &'static str {
         match self {
             FailureReason::RunFailed => "Run",
@@ -126,9 +126,9 @@
     Completed(Bytes),
     /// Refused: this attempt never ran.
     Refused {
-        /// How long the caller should wait before it tries again; zero for no advice.
+        /// How long the caller should wait before it tries again; zero if the refusal gives no advice.
         retry_after: Micros,
-        /// Whether the caller should not try another server either.
+        /// Whether the caller should not try another server.
         is_final: bool,
     },
     /// Failed. The work may have run.
@@ -148,7 +148,7 @@
     }
 }
 
-/// What happens to a node.
+/// An event that the core handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A front has read a request.
@@ -157,27 +157,27 @@
     RequestRejected(FailureReason),
     /// The caller of a request waits no longer.
     RequestCancelled(ResponseRoute),
-    /// A front connection has closed, and with it all its callers have left.
+    /// A front connection has closed, which cancels all requests on it.
     ConnectionClosed(FrontId, u64),
     /// A health check.
     HealthCheck {
         /// Where the answer goes.
         route: ResponseRoute,
-        /// Whether it asks that work be done.
+        /// Whether the check must do work, instead of reporting the stored state.
         is_deep: bool,
     },
-    /// A run ended.
+    /// A run has ended.
     RunEnded {
         /// The request.
         name: String,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// The result, where it succeeded.
+        /// The result if it succeeded, else empty.
         result: Bytes,
-        /// How long it took, where the worker measures that.
+        /// How long it took, if the worker measures that.
         duration: Option<Micros>,
     },
-    /// A run waits for a call.
+    /// A run has requested a call to a dependency and waits for the reply.
     CallRequested {
         /// The request.
         name: String,
@@ -190,41 +190,41 @@
     LaunchRefused(String),
     /// The agent refused a command other than a launch.
     CommandRefused,
-    /// The gauges that were asked for under this tag.
+    /// The gauges that were requested under this tag.
     GaugesSampled(String, Gauges),
-    /// The deep health check of this tag has ended; whether it succeeded.
+    /// The deep health check with this tag has ended; `true` if it succeeded.
     DeepCheckEnded(String, bool),
-    /// A call ended.
+    /// A call to a dependency has ended.
     CallEnded {
         /// The call.
         call_id: u64,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// The reply, where there is one.
+        /// The reply; empty if there is none.
         body: Bytes,
         /// Whether anything was sent for it.
         was_sent: bool,
     },
-    /// A stage of the calls before a run ended.
+    /// A stage of the calls before a run has ended.
     PrefetchStageEnded {
-        /// The call that stands for the stage.
+        /// The call number that identifies the stage.
         call_id: u64,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
         /// Whether another stage follows.
         has_more: bool,
     },
-    /// The process is asked to leave, and is stopped at that time.
+    /// The process has had the notice to leave and is stopped at this time.
     DrainRequested(Micros),
-    /// Another process has taken this one's place; this one goes on, and is stopped at that time.
+    /// A successor process now serves the node. This process completes its open requests and is stopped at this time.
     SuccessorStarted(Micros),
     /// Another process of this node reports a change to a write.
     ChangeReceived(Change),
-    /// This node has no other process any more.
+    /// The other process of this node has ended, or the link to it has.
     PeerProcessEnded,
 }
 
-/// What is to be done.
+/// An action for the runtime to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send the answer to a request, with the load signal.
@@ -233,7 +233,7 @@
     HealthResponse(ResponseRoute, bool, Option<f64>),
     /// Start a run.
     Launch {
-        /// What does the work.
+        /// The kind of worker.
         worker: Worker,
         /// The request.
         name: String,
@@ -244,11 +244,11 @@
     },
     /// Stop a run.
     StopRun(Worker, String),
-    /// Resume a paused run of the agent's.
+    /// Resume a paused run on the agent.
     ResumeRun(String),
     /// Give a run the reply to its call.
     DeliverReply(String, Bytes),
-    /// Let a run go on without the call of that notice.
+    /// Let a run continue without the call that it requested with this notice number.
     SkipCall(String, u64),
     /// Ask the agent for its gauges, under this tag.
     SampleGauges(String),
@@ -256,64 +256,64 @@
     RunDeepCheck(String),
     /// Place a call to a dependency.
     PlaceCall {
-        /// The call; no other call of this process has this number.
+        /// The call number, unique in this process.
         call_id: u64,
         /// The request that it is made for.
         name: String,
         /// The request's class.
         class: ClassId,
-        /// Which of the request's calls it is, from 0.
+        /// The index of the call among the request's calls, from 0.
         call_index: u32,
-        /// When it is given up.
+        /// When it is abandoned.
         deadline: Micros,
         /// Its body.
         body: Bytes,
         /// Whether it must not be made twice.
         is_one_shot: bool,
-        /// Whether something was sent for this call before.
+        /// Whether an earlier attempt of this call has sent anything.
         is_repeat: bool,
     },
-    /// Make the next stage of the calls before a run.
+    /// Make the calls of the next prefetch stage.
     Prefetch {
-        /// The call that stands for the stage.
+        /// The call number that identifies the stage.
         call_id: u64,
         /// The request.
         name: String,
         /// Its class.
         class: ClassId,
-        /// When the stage ends, with the replies that have come by then.
+        /// When the stage ends, with the replies received by then.
         deadline: Micros,
         /// The request's body.
         body: Bytes,
     },
-    /// The time of a stage is over.
+    /// End a prefetch stage now; the value is its call number.
     EndPrefetchStage(u64),
     /// Drop the replies and calls of a request's prefetch.
     CancelPrefetch(String),
-    /// Give up a call.
+    /// Abandon the call with this number.
     AbandonCall(u64),
-    /// Health checks and the directory get this state from now on: whether the node is healthy.
+    /// Report this health to health checks and the directory from now on; `true` if the node is healthy.
     HealthChanged(bool),
     /// Close connections that have been idle for this long.
     CloseIdleConnections(Micros),
     /// Ask callers on open connections for no further requests.
     AnnounceDrain,
-    /// A line for the operators' log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// What the core is set up with beyond the settings of the decision module.
+/// Options of the core beyond the settings of the decision module.
 #[derive(Clone, Debug)]
 pub struct NodeOptions {
-    /// Whether there is an agent, whose gauges are asked for.
+    /// Whether there is an agent, which provides gauges.
     pub has_agent: bool,
-    /// Slots that servers declare; 0 without such servers.
+    /// Number of slots that the servers declare in total; 0 without such servers.
     pub server_slots: u32,
     /// Whether those servers run on the agent's cores, so that its gauges cover them.
     pub servers_share_cores: bool,
     /// Whether reads may be answered with each other's results. Only callers' requests may: a call from the tier above
     /// is one step of one run, and the second call of a run does not repeat its first, even with equal class and key.
     pub shares_reads: bool,
-    /// For random numbers.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,6 +1,6 @@
 //! The core of a node: requests, attempts and outcomes.
 //!
-//! A state machine without I/O: it is fed [`Input`]s and the time, and returns [`Output`]s that the runtime carries out.
+//! A state machine without I/O: it receives [`Input`]s and the time, and returns [`Output`]s that the runtime carries out.
 //! It knows no wire format and no socket. Every decision about load belongs to the decision module ([`Policy`]); the
 //! core accounts for requests, runs and calls, and carries out the module's actions.
 //!
@@ -38,13 +38,13 @@
 use request_table::{ExecutionState, RequestEntry, RequestedCall};
 use shared_reads::SharedReads;
 
-/// How long a timer waits for the agent's gauges: well under the decision module's tick, so that a silent agent delays
-/// no deadline.
+/// How long a timer waits for the agent's gauges. This is well below the decision module's tick, so that an unresponsive
+/// agent delays no deadline.
 const SAMPLE_TIMEOUT: Micros = Micros::from_millis(8);
 /// How long a deep health check may take.
 const DEEP_CHECK_TIMEOUT: Micros = Micros::from_millis(1_000);
-/// The core answers for a silent decision module this long before an answer is due; the module itself answers 30 ms
-/// before.
+/// The core answers a request this long before its deadline if the decision module has not. The module itself answers 30 ms
+/// before the deadline.
 const ANSWER_MARGIN: Micros = Micros::from_millis(8);
 
 /// The core of a node. See the module's documentation for what it guarantees.
@@ -65,12 +65,12 @@
     next_id: u32,
     shared_reads: SharedReads,
     deadlines: BTreeSet<(Micros, Deadline)>,
-    /// Gauges that the agent has been asked for, by tag number: the timer, and how long it waits.
+    /// Gauges requested from the agent, by tag number: the timer, and the time until which it waits.
     gauge_samples: HashMap<u64, (TimerToken, Micros)>,
-    /// Deep health checks in progress, by tag number: where to answer, and how long they may take.
+    /// Deep health checks in progress, by tag number: where to answer, and the time until which the answer is awaited.
     deep_checks: HashMap<u64, (ResponseRoute, Micros)>,
     next_tag: u64,
-    /// Calls in progress: for which request, and since when.
+    /// Calls in progress, by call number: the request, and when the call was placed.
     calls: HashMap<u64, (RequestId, Micros)>,
     next_call_id: u64,
     /// The load signal for callers, once the decision module has set one.
@@ -78,7 +78,7 @@
     answers_health_from_store: bool,
     is_healthy: bool,
     is_draining: bool,
-    /// Requests that wait for the incumbent process's answer; the decision module does not know them yet.
+    /// Requests that wait for the incumbent process's answer. They have not been passed to the decision module yet.
     incumbent_queries: BTreeMap<RequestId, Request>,
     /// When each retired class slot was retired.
     retired_classes: BTreeMap<ClassId, Micros>,
@@ -93,7 +93,7 @@
     pub idempotency: Store,
     /// Open front connections, as the runtime counts them.
     pub open_connections: usize,
-    /// What has been counted since the start.
+    /// Counts since the start.
     pub counters: Counters,
 }
 
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Starts the decision module, as the worker is available. Later calls change nothing.
+    /// Starts the decision module, once the worker is available. Later calls change nothing.
     ///
     /// # Errors
     /// The settings are invalid.
@@ -170,14 +170,14 @@
     /// The time by which [`Node::advance`] is to be called; `None` if nothing is due.
     pub fn next_deadline(&self) -> Option<Micros> {
         let due = self.deadlines.first().map(|(when, _)| *when);
-        // Before the decision module has started no step can be late. A drain request that came so early would
-        // otherwise wake the node without end.
+        // No step is due before the decision module has started. Otherwise a drain request that comes before the start would
+        // wake the node in an endless loop.
         let has_step = self.is_started() && !self.events.is_empty();
         let step = has_step.then_some(self.last_step + self.settings.min_batch_gap);
         [due, step].into_iter().flatten().min()
     }
 
-    /// Takes in one input. Results are passed on at once; the decision module gets its events with the next
+    /// Handles one input. Results are passed on at once; the decision module receives its events with the next
     /// [`Node::advance`].
     pub fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
@@ -236,7 +236,7 @@
         self.by_route.range(route(0)..=route(u32::MAX)).map(|(route, _)| *route)
     }
 
-    /// A front connection has closed: the callers on it wait for nothing any more.
+    /// Cancels the requests and deep health checks of a front connection that has closed.
     fn connection_closed(&mut self, now: Micros, front: FrontId, connection: u64, out: &mut Vec<Output>) {
         let routes: Vec<ResponseRoute> = self.pending_on(front, connection).collect();
         for route in routes {
@@ -245,14 +245,14 @@
         self.deep_checks.retain(|_, (route, _)| (route.front, route.connection) != (front, connection));
     }
 
-    /// A run has ended, by the request's name. Names of requests that have left the table are ignored.
+    /// Handles the end of the run of a named request. Names of requests that have left the table are ignored.
     fn named_run_ended(&mut self, now: Micros, name: &str, end: RunEnd, out: &mut Vec<Output>) {
         if let Some(&id) = self.by_name.get(name) {
             self.run_ended(now, id, end, out);
         }
     }
 
-    /// A run waits for a call.
+    /// Records that a run waits for a call, and notifies the decision module.
     fn call_requested(&mut self, name: &str, call: RequestedCall) {
         let Some(&id) = self.by_name.get(name) else { return };
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -265,7 +265,7 @@
         self.events.push(Event::CallRequested(id));
     }
 
-    /// The process is to leave and is stopped at `stop`. Repeated requests change nothing.
+    /// Starts the drain of a process that is stopped at `stop`. Repeated calls change nothing.
     fn begin_drain(&mut self, stop: Micros, out: &mut Vec<Output>) {
         if !std::mem::replace(&mut self.is_draining, true) {
             self.events.push(Event::Drain(stop));
--- a/src/node/policy_actions.rs
+++ b/src/node/policy_actions.rs
@@ -19,8 +19,9 @@
         let events = std::mem::take(&mut self.events);
         let mut actions = std::mem::take(&mut self.actions);
         if let Err(error) = policy.step(now, &events, &mut actions) {
-            // Each event was validated on its way in. Should one slip through, the backstop answers its batch.
-            out.push(Output::Log(format!("module: {error}")));
+            // Each event is validated before it is queued. If an invalid one gets here all the same, the backstop answers the
+            // requests of its batch.
+            out.push(Output::Log(format!("the decision module rejected a batch of events: {error}")));
         }
         for action in actions.drain(..) {
             self.carry_out(now, action, out);
@@ -80,7 +81,7 @@
     }
 
     /// Refuses a request. A refusal states that nothing ran, so a request whose run has begun fails instead; the
-    /// decision module never asks for that.
+    /// decision module does not refuse such requests.
     fn refuse_request(&mut self, now: Micros, id: RequestId, refusal: Answer, out: &mut Vec<Output>) {
         let has_run_begun = |request: &RequestEntry| {
             matches!(request.state, ExecutionState::Running | ExecutionState::Paused)
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Lets other requests share the result of a read for `span`. The idempotency store keeps results of writes,
-    /// whatever the decision module retains of them.
+    /// Lets other requests share the result of a read for `span`. Results of writes are kept by the idempotency store,
+    /// independently of this action.
     fn share_read(&mut self, now: Micros, id: RequestId, span: Micros) {
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[request.class.0];
--- a/src/node/prefetch.rs
+++ b/src/node/prefetch.rs
@@ -10,11 +10,11 @@
 use super::request_table::{ExecutionState, RequestedCall};
 use crate::interface::{Event, Micros, Outcome, RequestId};
 
-/// The answer to a request whose run never began as calls before it failed. The front adds its own minimum delay.
+/// The answer to a request whose run never began because a call before it failed. The front adds its own minimum delay.
 pub(super) const NOT_RUN: Answer = Answer::Refused { retry_after: Micros(0), is_final: false };
 
 impl Node {
-    /// Has a request that the decision module has started wait for its first prefetch stage.
+    /// Makes a request that the decision module has started wait for its first prefetch stage.
     pub(super) fn begin_prefetch(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_prefetching = true;
@@ -23,7 +23,7 @@
         self.events.push(Event::CallRequested(id));
     }
 
-    /// A stage has ended. The next stage follows, or the run; after a failure the decision module chooses.
+    /// Handles the end of a stage. The next stage or the run follows; after a failure the decision module chooses.
     pub(super) fn prefetch_stage_ended(
         &mut self,
         now: Micros,
@@ -52,7 +52,8 @@
         }
     }
 
-    /// The decision module skips a stage: the stage starts and ends at once, so that only optional replies are missing.
+    /// Skips a stage, as the decision module has chosen. The stage starts and ends at once, so that only optional replies are
+    /// missing.
     pub(super) fn skip_prefetch_stage(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         self.next_call_id += 1;
--- a/src/node/reconfigure.rs
+++ b/src/node/reconfigure.rs
@@ -19,8 +19,8 @@
         self.requests_per_class[class.0] += 1;
     }
 
-    /// Retired class slots that no request refers to and that none can reach any more. A free slot stays free until it
-    /// is used again, so another thread may plan with the result while requests come and go.
+    /// Retired class slots that no request refers to and that no new request can refer to. A free slot stays free until it
+    /// is used again, so another thread may plan with the result while this one handles requests.
     pub fn free_class_slots(&self, now: Micros) -> BTreeSet<ClassId> {
         let is_empty = |class: &ClassId| self.requests_per_class.get(class.0).is_none_or(|count| *count == 0);
         let free = self
@@ -43,7 +43,7 @@
         slots::put_over(&self.settings, new_settings, |class| free.contains(&class))
     }
 
-    /// Applies a change that was planned over the settings in force.
+    /// Applies a change that was planned for the settings in force.
     pub fn apply_settings(&mut self, now: Micros, change: SettingsChange, out: &mut Vec<Output>) {
         // Events that came under the previous settings are handled under them.
         self.step_policy(now, out);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The settings in force, with every slot of a class.
+    /// The settings in force, including all class slots.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
--- a/src/node/request_table.rs
+++ b/src/node/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that a node has taken in: their entries, their one answer and their removal.
+//! The table of a node's requests: their entries, their one answer and their removal.
 //!
 //! A request stays in the table until it is answered and its work has stopped. Each request is answered at most once.
 
@@ -11,20 +11,20 @@
 use crate::idempotency::Attempt;
 use crate::interface::{ClassId, Event, Micros, RequestId};
 
-/// What happens to the work of a request.
+/// The state of the work of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExecutionState {
-    /// It has not begun, or it has ended.
+    /// The work has not begun, or it has ended.
     Queued,
     /// The request waits for the result of another one.
     Joined,
-    /// It has begun, with a run or with calls before one.
+    /// The work has begun, with a run or with calls before one.
     Running,
     /// The agent has confirmed that the run is paused; resuming it continues the same run.
     Paused,
 }
 
-/// One request that the node has taken in.
+/// One request in the table.
 #[derive(Debug)]
 pub(super) struct RequestEntry {
     pub(super) route: ResponseRoute,
@@ -33,16 +33,16 @@
     pub(super) worker: Worker,
     /// Calls are made before the run.
     pub(super) needs_prefetch: bool,
-    /// These calls are being made now; the run has not begun.
+    /// The calls before the run are in progress; the run has not begun.
     pub(super) is_prefetching: bool,
     pub(super) class: ClassId,
-    /// What a read is about; the idempotency key of a keyed write.
+    /// The subject of a read, or the idempotency key of a keyed write.
     pub(super) key: Option<String>,
-    /// Set for writes that can be told from others: by name or by key.
+    /// Set for writes that are identified by name or by key.
     pub(super) attempt: Option<Attempt>,
     pub(super) body: Bytes,
     pub(super) arrived: Micros,
-    /// The caller waits no longer than this.
+    /// The time until which the caller waits.
     pub(super) due: Micros,
     /// When the core answers in place of the decision module.
     pub(super) backstop: Micros,
@@ -58,7 +58,7 @@
     pub(super) requested_call: Option<RequestedCall>,
     /// Calls that the run has asked for, or prefetch stages reached.
     pub(super) call_count: u32,
-    /// Something has been sent for the latest of these calls.
+    /// Anything has been sent for the latest of these calls.
     pub(super) was_call_sent: bool,
     /// The call in progress for this request.
     pub(super) call_id: Option<u64>,
@@ -75,7 +75,7 @@
 }
 
 impl Node {
-    /// The caller of a request waits no longer. Work that is shared or must not be repeated goes on.
+    /// Handles a caller that no longer waits for its request. Work that is shared or must not be repeated goes on.
     pub(super) fn cancel_request(&mut self, now: Micros, route: ResponseRoute, out: &mut Vec<Output>) {
         let Some(id) = self.by_route.remove(&route) else { return };
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -98,8 +98,8 @@
         self.cancel_prefetch(now, id, out);
     }
 
-    /// Removes a request that is answered and not running. Requests that wait for its result, which can come no
-    /// more, fail.
+    /// Removes a request that is answered and not running. Requests that wait for its result fail, as the
+    /// result can no longer come.
     pub(super) fn remove_if_settled(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
         let is_open =
             |request: &RequestEntry| !request.is_answered || request.state == ExecutionState::Running;
--- a/src/node/shared_reads.rs
+++ b/src/node/shared_reads.rs
@@ -1,4 +1,4 @@
-//! Reads that share a result: which request is current for each subject, and the fresh results.
+//! Reads that share a result: the current request for each subject, and the fresh results.
 //!
 //! Attempts of writes are linked by [`crate::idempotency`], not here.
 
@@ -9,11 +9,11 @@
 use crate::interface::{Micros, RequestId};
 use crate::node::FrontId;
 
-/// What makes two reads alike: the front, the class's name and the key. The form of a result is that of its front's
-/// wire, so fronts do not share results. A class's number may stand for another class after a reload; its name does not.
+/// What identifies the subject of a read: the front, the class's name and the key. A result is encoded in the wire format of
+/// its front, so fronts do not share results. After a reload a class's number may refer to another class; its name does not.
 pub(super) type ReadSubject = (FrontId, String, String);
 
-/// The result of a read and when it was made. This process may have been notified later than that.
+/// The result of a read and when it was made. This process may have received it later.
 #[derive(Clone, Debug)]
 pub(super) struct CachedRead {
     /// The result, unchanged.
@@ -25,7 +25,7 @@
 /// The state of the run behind an entry.
 #[derive(Clone, Debug)]
 enum ReadState {
-    /// It has not ended.
+    /// The run has not ended.
     Pending,
     Completed(CachedRead),
     Failed,
@@ -50,7 +50,7 @@
 }
 
 impl SharedReads {
-    /// Enters a request, or moves the end of its entry to `until`. A newer request replaces the one of its subject.
+    /// Adds an entry for a request, or moves the end of its entry to `until`. A newer request replaces the one of its subject.
     pub(super) fn insert_or_renew(&mut self, id: RequestId, subject: Option<ReadSubject>, until: Micros) {
         if let Some(subject) = self.subjects.get(&id).cloned() {
             if let Some(read) = self.reads.get_mut(&subject) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Removes the entry of a request if it has ended; otherwise returns when to look again.
+    /// Removes the entry of a request if it has ended; otherwise returns when to check again.
     pub(super) fn expire(&mut self, now: Micros, id: RequestId) -> Option<Micros> {
         let expires = self.read_of(id)?.until + LATE_READ_MARGIN;
         if expires <= now {
