--- a/tests/common/core.rs
+++ b/tests/common/core.rs
@@ -1,4 +1,4 @@
-//! A core without a wire or a socket, on a clock of its own.
+//! The core of a node without wire formats and sockets, in simulated time.
 
 use bytes::Bytes;
 use holdlift::node::{
@@ -7,18 +7,19 @@
 use holdlift::time::Arrival;
 use holdlift::{ClassId, Gauges, Micros, Settings};
 
-/// A core and its clock.
+/// A core and its simulated time.
 pub struct Core {
     pub node: Node,
     pub now: Micros,
 }
 
-pub fn origin(call: u32) -> ResponseRoute {
-    ResponseRoute { front: FrontId("one"), connection: 1, request_number: call }
+/// The route of a request with this number, on the one connection of the tests.
+pub fn route(request_number: u32) -> ResponseRoute {
+    ResponseRoute { front: FrontId("one"), connection: 1, request_number }
 }
 
 impl Core {
-    /// Not started yet.
+    /// A core with these settings, which has not been started.
     pub fn with(settings: Settings) -> Core {
         let options = NodeOptions {
             has_agent: true,
@@ -30,7 +31,7 @@
         Core { node: Node::new(settings, options), now: Micros::from_millis(1_000_000) }
     }
 
-    /// With reads that are fresh for 200 ms.
+    /// A core that has not been started, whose reads are fresh for 200 ms.
     pub fn new() -> Core {
         Core::with(Settings { fresh_for: Micros::from_millis(200), ..super::settings() })
     }
@@ -40,19 +41,19 @@
     }
 
     pub fn start(mut self) -> Core {
-        self.node.start(self.now, false, &mut Vec::new()).expect("good settings");
+        self.node.start(self.now, false, &mut Vec::new()).expect("the settings are valid");
         self
     }
 
-    /// Takes these in, then passes time in steps of 1 ms; gauges are given as asked for.
-    pub fn after(&mut self, inputs: Vec<Input>, ms: u64) -> Vec<Output> {
+    /// Handles these inputs, then advances time in steps of 1 ms. Gauges are delivered as soon as they are requested.
+    pub fn advance(&mut self, inputs: Vec<Input>, ms: u64) -> Vec<Output> {
         let mut all = Vec::new();
-        inputs.into_iter().for_each(|i| self.node.handle_input(self.now, i, &mut all));
+        inputs.into_iter().for_each(|input| self.node.handle_input(self.now, input, &mut all));
         for _ in 0..=ms {
             let mut out = Vec::new();
             self.node.advance(self.now, &mut out);
-            for o in &out {
-                if let Output::SampleGauges(tag) = o {
+            for output in &out {
+                if let Output::SampleGauges(tag) = output {
                     self.node.handle_input(
                         self.now,
                         Input::GaugesSampled(tag.clone(), Gauges::default()),
@@ -66,9 +67,10 @@
         all
     }
 
-    pub fn ask(&self, call: u32, class: usize, key: Option<&str>) -> Input {
-        let ask = IncomingRequest {
-            name: format!("r{call}"),
+    /// A request that arrives now. It is named after its number.
+    pub fn request(&self, request_number: u32, class: usize, key: Option<&str>) -> Input {
+        let incoming = IncomingRequest {
+            name: format!("r{request_number}"),
             reference_scope: ReferenceScope::AllProcesses,
             worker: Worker::Agent,
             needs_prefetch: false,
@@ -85,6 +87,6 @@
             time_limit: None,
             body: Bytes::from_static(b"body"),
         };
-        Input::RequestReceived(origin(call), Box::new(ask))
+        Input::RequestReceived(route(request_number), Box::new(incoming))
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,19 +5,25 @@
 
 use holdlift::*;
 
-pub fn class(name: &str, effect: Effect, aim_ms: u64, deadline_ms: u64, worth: f64) -> ClassSettings {
+pub fn class(
+    name: &str,
+    effect: Effect,
+    objective_ms: u64,
+    deadline_ms: u64,
+    priority_weight: f64,
+) -> ClassSettings {
     ClassSettings {
         name: name.to_owned(),
-        latency_objective: Micros::from_millis(aim_ms),
+        latency_objective: Micros::from_millis(objective_ms),
         deadline: Micros::from_millis(deadline_ms),
-        priority_weight: worth,
+        priority_weight,
         effect,
         window: Micros::from_millis(5_000),
         ..ClassSettings::default()
     }
 }
 
-/// Two cores; class 0 is retryable, 1 keyed, 2 fragile.
+/// Settings for two cores. Class 0 is retryable, class 1 keyed, class 2 fragile.
 pub fn settings() -> Settings {
     Settings {
         cores: 2,
@@ -67,25 +73,27 @@
     }
 }
 
-/// One policy with a clock.
+/// A decision module in simulated time.
 pub struct Server {
     pub policy: Policy,
     pub now: Micros,
 }
 
 impl Server {
-    pub fn new(s: Settings) -> Server {
-        let mut server =
-            Server { policy: Policy::new(s, 7).expect("good settings"), now: Micros::from_millis(1_000_000) };
+    pub fn new(settings: Settings) -> Server {
+        let mut server = Server {
+            policy: Policy::new(settings, 7).expect("the settings are valid"),
+            now: Micros::from_millis(1_000_000),
+        };
         server.at(0, &[]);
         server
     }
 
-    /// Steps `ms` later.
+    /// Advances time by `ms`, then passes these events to the module in one step.
     pub fn at(&mut self, ms: u64, events: &[Event]) -> Vec<Action> {
         self.now = self.now + Micros::from_millis(ms);
         let mut out = Vec::new();
-        self.policy.step(self.now, events, &mut out).expect("events that fit");
+        self.policy.step(self.now, events, &mut out).expect("the events are valid");
         out
     }
 
@@ -94,7 +102,7 @@
         self.at(ms, &events)
     }
 
-    /// Steps in 15 ms ticks for `ms`, with this busy share, and gathers the actions.
+    /// Passes timer events every 15 ms for `ms`, with this share of busy cores, and collects the actions.
     pub fn idle(&mut self, ms: u64, busy: f64) -> Vec<Action> {
         let gauges = Gauges { busy: Some(busy), ..Gauges::default() };
         (0..ms / 15).flat_map(|_| self.at(15, &[Event::Timer(TimerToken(0), gauges)])).collect()
@@ -105,14 +113,14 @@
     actions.iter().filter_map(|a| if let Action::Run(id) = a { Some(id.0) } else { None }).collect()
 }
 
-/// Ids answered by the actions themselves, refusals as negative numbers.
+/// Ids of the requests that these actions answer: failures as positive numbers, refusals as negative ones.
 pub fn answers(actions: &[Action]) -> Vec<i64> {
-    let one = |a: &Action| match a {
+    let answered_id = |action: &Action| match action {
         Action::Fail(id) => Some(i64::from(id.0)),
         Action::Refuse { id, .. } => Some(-i64::from(id.0)),
         _ => None,
     };
-    actions.iter().filter_map(one).collect()
+    actions.iter().filter_map(answered_id).collect()
 }
 
 pub fn ended(id: u32, outcome: Outcome) -> Event {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,100 +1,108 @@
-//! The core without a wire or a socket: what it owes, and when.
+//! The core of a node without wire formats and sockets: which answers, launches and calls it produces, and when.
 
 mod common;
 
 use bytes::Bytes;
-use common::core::{Core, origin};
+use common::core::{Core, route};
 use holdlift::idempotency::Side;
 use holdlift::node::{Answer, FailureReason, IncomingRequest, Input, Output, Worker};
 use holdlift::time::Arrival;
 use holdlift::{Micros, Outcome};
 
-fn ended(call: u32, end: Outcome) -> Input {
-    took(call, end, None)
+fn run_ended(request_number: u32, outcome: Outcome) -> Input {
+    run_ended_after(request_number, outcome, None)
 }
 
-/// The same, with how long the run took, ms, as the agent says.
-fn took(call: u32, end: Outcome, ms: Option<u64>) -> Input {
-    let result = Bytes::from(format!("result {call}"));
-    Input::RunEnded { name: format!("r{call}"), outcome: end, result, duration: ms.map(Micros::from_millis) }
+/// The end of a run, with the duration that the agent reports, ms.
+fn run_ended_after(request_number: u32, outcome: Outcome, duration_ms: Option<u64>) -> Input {
+    let result = Bytes::from(format!("result {request_number}"));
+    let duration = duration_ms.map(Micros::from_millis);
+    Input::RunEnded { name: format!("r{request_number}"), outcome, result, duration }
 }
 
 fn answers(out: &[Output]) -> Vec<(u32, Answer)> {
-    let one =
-        |o: &Output| if let Output::Answer(o, a, _) = o { Some((o.request_number, a.clone())) } else { None };
-    out.iter().filter_map(one).collect()
+    let numbered_answer = |output: &Output| match output {
+        Output::Answer(route, answer, _) => Some((route.request_number, answer.clone())),
+        _ => None,
+    };
+    out.iter().filter_map(numbered_answer).collect()
 }
 
 fn launches(out: &[Output]) -> usize {
     out.iter().filter(|o| matches!(o, Output::Launch { .. })).count()
 }
 
-/// A notice to leave that came before the agent once woke the node without end.
+/// Guards against an endless wake-up loop: a drain request that came before the agent was connected left a step due forever.
 #[test]
-fn nothing_is_due_before_the_start() {
+fn no_deadline_is_due_before_the_start_even_after_a_drain_request() {
     let mut core = Core::new();
-    let out =
-        core.after(vec![Input::DrainRequested(core.now + Micros::from_millis(900)), core.ask(1, 0, None)], 1);
+    let out = core.advance(
+        vec![Input::DrainRequested(core.now + Micros::from_millis(900)), core.request(1, 0, None)],
+        1,
+    );
     assert!(out.contains(&Output::HealthChanged(false)) && out.contains(&Output::AnnounceDrain));
     assert_eq!(answers(&out), [(1, Answer::Refused { retry_after: Micros(0), is_final: false })]);
     assert_eq!(core.node.next_deadline(), None);
 }
 
 #[test]
-fn a_result_is_given_once_and_unchanged() {
+fn a_result_is_delivered_once_and_unchanged() {
     let mut core = Core::started();
-    let out = core.after(vec![core.ask(1, 2, None)], 10);
+    let out = core.advance(vec![core.request(1, 2, None)], 10);
     assert_eq!((launches(&out), core.node.pending_answers()), (1, 1));
-    let out = core.after(vec![ended(1, Outcome::Good), ended(1, Outcome::Good), ended(9, Outcome::Good)], 10);
+    let out = core.advance(
+        vec![run_ended(1, Outcome::Good), run_ended(1, Outcome::Good), run_ended(9, Outcome::Good)],
+        10,
+    );
     assert_eq!(answers(&out), [(1, Answer::Completed(Bytes::from_static(b"result 1")))]);
     assert_eq!(core.node.pending_answers(), 0);
 }
 
-/// A cancel that crosses the result, either way round, leaves no second answer and nothing behind.
+/// A cancellation and a result arrive together, in either order. There is at most one answer, and no request stays open.
 #[test]
-fn cancels_and_results_may_cross() {
+fn a_cancellation_and_a_result_in_either_order_leave_no_open_request() {
     for (first, second, count) in [
-        (Input::RequestCancelled(origin(1)), ended(1, Outcome::Good), 0),
-        (ended(1, Outcome::Good), Input::RequestCancelled(origin(1)), 1),
+        (Input::RequestCancelled(route(1)), run_ended(1, Outcome::Good), 0),
+        (run_ended(1, Outcome::Good), Input::RequestCancelled(route(1)), 1),
     ] {
         let mut core = Core::started();
-        core.after(vec![core.ask(1, 2, None)], 10);
-        let out = core.after(vec![first, second], 50);
+        core.advance(vec![core.request(1, 2, None)], 10);
+        let out = core.advance(vec![first, second], 50);
         assert_eq!((answers(&out).len(), core.node.pending_answers()), (count, 0));
     }
 }
 
-/// Whatever becomes of the agent, each request is answered by its due time, 3 s after it came.
+/// Each request is answered by its deadline, 3 s after its arrival, even if the agent never reports the end of a run.
 #[test]
-fn a_silent_agent_delays_no_answer() {
+fn an_unresponsive_agent_delays_no_answer_beyond_the_deadline() {
     let mut core = Core::started();
-    let asks = (1..=20).map(|i| core.ask(i, 2, None)).collect();
-    let out = core.after(asks, 3_000);
-    let mut calls: Vec<u32> = answers(&out).iter().map(|a| a.0).collect();
-    calls.sort_unstable();
-    assert_eq!(calls, (1..=20).collect::<Vec<_>>());
+    let requests = (1..=20).map(|i| core.request(i, 2, None)).collect();
+    let out = core.advance(requests, 3_000);
+    let mut answered: Vec<u32> = answers(&out).iter().map(|a| a.0).collect();
+    answered.sort_unstable();
+    assert_eq!(answered, (1..=20).collect::<Vec<_>>());
     let late =
         answers(&out).iter().filter(|a| a.1 == Answer::Failed(FailureReason::DeadlineExceeded)).count();
     assert!(late > 0 && late == launches(&out), "{late}");
 }
 
-/// With nothing in hand the node is due at the module's ticks and at nothing else: once its gauges are there, nobody is woken
-/// for the time until which they would have been awaited.
+/// A node without requests is due at the decision module's ticks only. Once the gauges for a tick have arrived, the node is not
+/// woken again at the end of the time for which it would have waited for them.
 #[test]
-fn at_rest_only_the_ticks_are_due() {
+fn an_idle_node_is_due_only_at_the_ticks_of_the_decision_module() {
     let mut core = Core::started();
-    core.after(Vec::new(), 100);
-    let (mut looks, mut ticks) = (0, 0);
+    core.advance(Vec::new(), 100);
+    let (mut wakeups, mut ticks) = (0, 0);
     let until = core.now + Micros::from_millis(3_000);
     while core.now < until {
-        core.now = core.now.max(core.node.next_deadline().expect("a tick"));
+        core.now = core.now.max(core.node.next_deadline().expect("a started node always has a next tick"));
         let mut out = Vec::new();
         core.node.advance(core.now, &mut out);
-        looks += 1;
-        for o in out {
-            let Output::SampleGauges(tag) = o else { continue };
+        wakeups += 1;
+        for output in out {
+            let Output::SampleGauges(tag) = output else { continue };
             ticks += 1;
-            // The answer is an event of its own, and has the module take its tick.
+            // The gauges are an event of their own, with which the decision module handles its tick.
             core.now = core.now + Micros::from_millis(1);
             core.node.handle_input(
                 core.now,
@@ -105,31 +113,31 @@
         }
     }
     assert!(ticks > 150, "{ticks}");
-    assert_eq!(looks, ticks);
+    assert_eq!(wakeups, ticks);
 }
 
-/// A read is served with the result of another that is under way or fresh, and not with a stale one.
+/// A read is answered with the result of another read that is running or fresh, but not with a stale result.
 #[test]
-fn fresh_reads_are_shared() {
+fn reads_share_running_and_fresh_results_but_not_stale_ones() {
     let mut core = Core::started();
-    let mut out = core.after(vec![core.ask(1, 0, Some("k"))], 10);
-    out.extend(core.after(vec![core.ask(2, 0, Some("k")), core.ask(3, 0, Some("other"))], 10));
-    out.extend(core.after(vec![ended(1, Outcome::Good)], 100));
-    out.extend(core.after(vec![core.ask(4, 0, Some("k"))], 150));
+    let mut out = core.advance(vec![core.request(1, 0, Some("k"))], 10);
+    out.extend(core.advance(vec![core.request(2, 0, Some("k")), core.request(3, 0, Some("other"))], 10));
+    out.extend(core.advance(vec![run_ended(1, Outcome::Good)], 100));
+    out.extend(core.advance(vec![core.request(4, 0, Some("k"))], 150));
     assert_eq!(launches(&out), 2);
     let result = Answer::Completed(Bytes::from_static(b"result 1"));
     assert_eq!(answers(&out), [(1, result.clone()), (2, result.clone()), (4, result)]);
-    let out = core.after(vec![core.ask(5, 0, Some("k"))], 10);
-    assert_eq!(launches(&out), 1, "260 ms are too old");
+    let out = core.advance(vec![core.request(5, 0, Some("k"))], 10);
+    assert_eq!(launches(&out), 1, "a result that is 260 ms old is stale");
 }
 
-/// Those that wait for a read that fails, or whose caller leaves before it has run, fail or run for themselves.
+/// Requests that wait for the result of a read that fails are answered as failed, too.
 #[test]
-fn a_failed_read_leaves_nobody_waiting() {
+fn a_failed_read_fails_the_requests_that_wait_for_its_result() {
     let mut core = Core::started();
-    core.after(vec![core.ask(1, 0, Some("k"))], 10);
-    core.after(vec![core.ask(2, 0, Some("k"))], 10);
-    let out = core.after(vec![ended(1, Outcome::Bad)], 10);
+    core.advance(vec![core.request(1, 0, Some("k"))], 10);
+    core.advance(vec![core.request(2, 0, Some("k"))], 10);
+    let out = core.advance(vec![run_ended(1, Outcome::Bad)], 10);
     assert_eq!(
         answers(&out),
         [(1, Answer::Failed(FailureReason::RunFailed)), (2, Answer::Failed(FailureReason::RunFailed))]
@@ -137,11 +145,12 @@
     assert_eq!(core.node.pending_answers(), 0);
 }
 
-/// A result is as old as the agent says, not as the news of it: while a process stood still, a read came more than the fresh
-/// time (200 ms) after the result had been made. It was served with it, be it read behind the late news or before.
+/// The age of a result counts from the end of the run as the agent reports it, not from the arrival of the report. Guards against
+/// this fault: a process was suspended, and a read that arrived more than the freshness time (200 ms) after the result was made was
+/// answered with it, whether the read was handled before the delayed report or after it.
 #[test]
-fn late_news_of_a_result_makes_it_no_fresher() {
-    for (arrived_ms, before, want) in [
+fn a_delayed_report_of_a_result_does_not_make_it_fresher() {
+    for (arrived_ms, read_before_report, expected) in [
         (150, true, Answer::Completed(Bytes::from_static(b"result 1"))),
         (150, false, Answer::Completed(Bytes::from_static(b"result 1"))),
         (320, true, Answer::Failed(FailureReason::RunFailed)),
@@ -149,173 +158,197 @@
     ] {
         let mut core = Core::started();
         let start = core.now;
-        let first = core.ask(1, 0, Some("k"));
-        assert_eq!(launches(&core.after(vec![first], 20)), 1);
-        // It took 100 ms; the news of it comes after 400.
+        let first = core.request(1, 0, Some("k"));
+        assert_eq!(launches(&core.advance(vec![first], 20)), 1);
+        // The run took 100 ms; the report of it comes after 400 ms.
         core.now = start + Micros::from_millis(400);
-        let Input::RequestReceived(origin, ask) = core.ask(2, 0, Some("k")) else { panic!("a request") };
+        let Input::RequestReceived(route, incoming) = core.request(2, 0, Some("k")) else {
+            panic!("Core::request returns a received request");
+        };
         let arrived = Arrival::now(start + Micros::from_millis(arrived_ms));
-        let second = Input::RequestReceived(origin, Box::new(IncomingRequest { arrived, ..*ask }));
-        let news = took(1, Outcome::Good, Some(100));
-        let mut out = if before {
-            let mut out = core.after(vec![second], 10);
-            out.extend(core.after(vec![news], 10));
+        let second = Input::RequestReceived(route, Box::new(IncomingRequest { arrived, ..*incoming }));
+        let report = run_ended_after(1, Outcome::Good, Some(100));
+        let mut out = if read_before_report {
+            let mut out = core.advance(vec![second], 10);
+            out.extend(core.advance(vec![report], 10));
             out
         } else {
-            core.after(vec![news, second], 20)
+            core.advance(vec![report, second], 20)
         };
-        out.extend(core.after(vec![ended(2, Outcome::Good)], 10));
-        let of = answers(&out).into_iter().find(|a| a.0 == 2).map(|a| a.1);
-        assert_eq!(of, Some(want), "came after {arrived_ms} ms, read before the news: {before}");
+        out.extend(core.advance(vec![run_ended(2, Outcome::Good)], 10));
+        let answer = answers(&out).into_iter().find(|a| a.0 == 2).map(|a| a.1);
+        assert_eq!(
+            answer,
+            Some(expected),
+            "arrived after {arrived_ms} ms, read before the report: {read_before_report}"
+        );
     }
 }
 
-/// Tries of one keyed write that are read in the same turn: the module's table of kept keys knows neither yet. Both once ran.
+/// Guards against running a keyed write twice when two attempts of it are read in the same event loop iteration: the decision
+/// module's table of retained keys holds neither of them yet.
 #[test]
-fn tries_of_one_turn_run_once() {
+fn attempts_of_one_keyed_write_in_one_iteration_run_once() {
     let mut core = Core::started();
-    let asks = vec![core.ask(1, 1, Some("k")), core.ask(2, 1, Some("k")), core.ask(3, 1, Some("l"))];
-    let mut out = core.after(asks, 10);
-    let names: Vec<u32> = (1..=3).filter(|n| launched(&out, *n)).collect();
-    assert_eq!(launches(&out), 2, "{names:?}");
-    out.extend(core.after((1..=3).map(|n| ended(n, Outcome::Good)).collect(), 10));
-    out.extend(core.after(vec![core.ask(4, 1, Some("k"))], 10));
+    let requests =
+        vec![core.request(1, 1, Some("k")), core.request(2, 1, Some("k")), core.request(3, 1, Some("l"))];
+    let mut out = core.advance(requests, 10);
+    let launched_numbers: Vec<u32> = (1..=3).filter(|n| launched(&out, *n)).collect();
+    assert_eq!(launches(&out), 2, "{launched_numbers:?}");
+    out.extend(core.advance((1..=3).map(|n| run_ended(n, Outcome::Good)).collect(), 10));
+    out.extend(core.advance(vec![core.request(4, 1, Some("k"))], 10));
     assert_eq!(launches(&out), 2);
     assert_eq!(core.node.pending_answers(), 0);
 }
 
-fn launched(out: &[Output], call: u32) -> bool {
-    let name = format!("r{call}");
-    out.iter().any(|o| matches!(o, Output::Launch { name: n, .. } if *n == name))
+fn launched(out: &[Output], request_number: u32) -> bool {
+    let expected = format!("r{request_number}");
+    out.iter().any(|output| matches!(output, Output::Launch { name, .. } if *name == expected))
 }
 
-/// Two processes of one node, and what each has to tell the other.
-fn pair() -> (Core, Core) {
-    let (mut holder, mut heir) = (Core::started(), Core::started());
-    let now = holder.now;
-    holder.node.idempotency.share(now, Side::Incumbent);
-    heir.node.idempotency.share(now, Side::Successor);
-    (holder, heir)
+/// The incumbent and the successor of one node, each of which collects changes to writes for the other.
+fn incumbent_and_successor() -> (Core, Core) {
+    let (mut incumbent, mut successor) = (Core::started(), Core::started());
+    let now = incumbent.now;
+    incumbent.node.idempotency.share(now, Side::Incumbent);
+    successor.node.idempotency.share(now, Side::Successor);
+    (incumbent, successor)
 }
 
-fn news(from: &mut Core) -> Vec<Input> {
+/// The changes to writes that a process sends to the other one, as inputs of that one.
+fn changes_from(from: &mut Core) -> Vec<Input> {
     from.node.idempotency.changes().into_iter().map(Input::ChangeReceived).collect()
 }
 
-/// Two tries of one keyed write reach both processes while news of neither has crossed. Both once ran.
+/// Guards against running a keyed write in both processes: two attempts of it arrive, one at each process, before either process
+/// has received the other's changes.
 #[test]
-fn tries_that_meet_both_processes_run_once() {
-    let (mut holder, mut heir) = pair();
-    // In the heir first, by a little, which changes nothing.
-    let mut there = heir.after(vec![heir.ask(1, 1, Some("k")), heir.ask(2, 1, Some("l"))], 5);
-    assert_eq!(launches(&there), 0, "it asks first");
-    let mut here = holder.after(vec![holder.ask(3, 1, Some("k"))], 5);
-    here.extend(holder.after(news(&mut heir), 5));
-    there.extend(heir.after(news(&mut holder), 5));
-    assert_eq!((launched(&here, 3), launched(&there, 1), launched(&there, 2)), (true, false, true));
-    assert_eq!(answers(&there), [(1, Answer::Failed(FailureReason::RepeatedWrite))]);
-    // What the heir was granted fails here, and one that it asks for later gets what became of the first.
-    here.extend(holder.after(vec![holder.ask(4, 1, Some("l")), ended(3, Outcome::Good)], 5));
-    assert!(answers(&here).contains(&(4, Answer::Failed(FailureReason::RepeatedWrite))));
-    there.extend(heir.after(news(&mut holder), 5));
-    there.extend(heir.after(vec![heir.ask(5, 1, Some("k"))], 5));
-    assert!(answers(&there).contains(&(5, Answer::Completed(Bytes::from_static(b"result 3")))));
-    assert_eq!(launches(&here) + launches(&there), 2);
+fn attempts_of_one_keyed_write_at_both_processes_run_once() {
+    let (mut incumbent, mut successor) = incumbent_and_successor();
+    // The attempt at the successor comes slightly earlier, which makes no difference.
+    let mut at_successor =
+        successor.advance(vec![successor.request(1, 1, Some("k")), successor.request(2, 1, Some("l"))], 5);
+    assert_eq!(launches(&at_successor), 0, "the successor asks the incumbent before it launches a write");
+    let mut at_incumbent = incumbent.advance(vec![incumbent.request(3, 1, Some("k"))], 5);
+    at_incumbent.extend(incumbent.advance(changes_from(&mut successor), 5));
+    at_successor.extend(successor.advance(changes_from(&mut incumbent), 5));
+    assert_eq!(
+        (launched(&at_incumbent, 3), launched(&at_successor, 1), launched(&at_successor, 2)),
+        (true, false, true)
+    );
+    assert_eq!(answers(&at_successor), [(1, Answer::Failed(FailureReason::RepeatedWrite))]);
+    // A repeat of the write that the successor was granted fails at the incumbent. A later repeat at the successor gets the
+    // result of the attempt that ran at the incumbent.
+    at_incumbent
+        .extend(incumbent.advance(vec![incumbent.request(4, 1, Some("l")), run_ended(3, Outcome::Good)], 5));
+    assert!(answers(&at_incumbent).contains(&(4, Answer::Failed(FailureReason::RepeatedWrite))));
+    at_successor.extend(successor.advance(changes_from(&mut incumbent), 5));
+    at_successor.extend(successor.advance(vec![successor.request(5, 1, Some("k"))], 5));
+    assert!(answers(&at_successor).contains(&(5, Answer::Completed(Bytes::from_static(b"result 3")))));
+    assert_eq!(launches(&at_incumbent) + launches(&at_successor), 2);
 }
 
-/// The same write that no key links, sent again with its name across a connection's end, meets the other process before the news
-/// of it: the successor asks for these too.
+/// A write without a key is sent again under the same name on a new connection, and reaches the successor before the incumbent's
+/// report of it. The successor asks the incumbent about such writes, too.
 #[test]
-fn a_write_sent_again_to_the_other_process_runs_once() {
-    for news_is_late in [true, false] {
-        let (mut incumbent, mut successor) = pair();
-        let mut here = incumbent.after(vec![incumbent.ask(1, 2, None)], 5);
-        if !news_is_late {
-            successor.after(news(&mut incumbent), 5);
+fn an_unkeyed_write_repeated_at_the_successor_runs_once() {
+    for is_report_late in [true, false] {
+        let (mut incumbent, mut successor) = incumbent_and_successor();
+        let mut at_incumbent = incumbent.advance(vec![incumbent.request(1, 2, None)], 5);
+        if !is_report_late {
+            successor.advance(changes_from(&mut incumbent), 5);
         }
-        let mut there = successor.after(vec![successor.ask(1, 2, None)], 5);
-        here.extend(incumbent.after(news(&mut successor), 5));
-        there.extend(successor.after(news(&mut incumbent), 5));
-        assert_eq!((launches(&here), launches(&there)), (1, 0), "news is late: {news_is_late}");
+        let mut at_successor = successor.advance(vec![successor.request(1, 2, None)], 5);
+        at_incumbent.extend(incumbent.advance(changes_from(&mut successor), 5));
+        at_successor.extend(successor.advance(changes_from(&mut incumbent), 5));
+        assert_eq!(
+            (launches(&at_incumbent), launches(&at_successor)),
+            (1, 0),
+            "report is late: {is_report_late}"
+        );
         assert_eq!(
-            answers(&there),
+            answers(&at_successor),
             [(1, Answer::Failed(FailureReason::RepeatedWrite))],
-            "news is late: {news_is_late}"
+            "report is late: {is_report_late}"
         );
     }
 }
 
-/// The holder does not answer: answered in 250 ms, and the holder may run it. A keyed one fails, as another attempt of it may have run
-/// there; one that no key links is turned away. It goes: what was asked for runs.
+/// If the incumbent does not answer a query, the successor answers the request after 250 ms, and the incumbent may still run the
+/// write. A keyed write fails, because another attempt of it may have run at the incumbent; an unkeyed write is refused. When the
+/// incumbent ends, the writes that await its answer run.
 #[test]
-fn a_holder_that_does_not_answer() {
-    let (mut holder, mut heir) = pair();
-    let out = heir.after(vec![heir.ask(1, 1, Some("k")), heir.ask(7, 2, None)], 260);
-    let turned_away = Answer::Refused { retry_after: Micros::from_millis(250), is_final: false };
-    assert_eq!(answers(&out), [(1, Answer::Failed(FailureReason::DeadlineExceeded)), (7, turned_away)]);
-    assert_eq!((heir.node.pending_answers(), heir.node.counters.incumbent_query_timeouts), (0, 2));
-    holder.after(news(&mut heir), 1);
-    assert_eq!(launches(&holder.after(vec![holder.ask(2, 1, Some("k"))], 5)), 1);
-    let mut out = heir.after(news(&mut holder), 5);
-    out.extend(heir.after(vec![heir.ask(3, 1, Some("k")), heir.ask(4, 1, Some("m"))], 5));
-    out.extend(heir.after(vec![Input::RequestCancelled(origin(5)), Input::PeerProcessEnded], 5));
+fn an_unanswered_query_ends_after_its_timeout_and_pending_writes_run_when_the_incumbent_ends() {
+    let (mut incumbent, mut successor) = incumbent_and_successor();
+    let out = successor.advance(vec![successor.request(1, 1, Some("k")), successor.request(7, 2, None)], 260);
+    let refused = Answer::Refused { retry_after: Micros::from_millis(250), is_final: false };
+    assert_eq!(answers(&out), [(1, Answer::Failed(FailureReason::DeadlineExceeded)), (7, refused)]);
+    assert_eq!((successor.node.pending_answers(), successor.node.counters.incumbent_query_timeouts), (0, 2));
+    incumbent.advance(changes_from(&mut successor), 1);
+    assert_eq!(launches(&incumbent.advance(vec![incumbent.request(2, 1, Some("k"))], 5)), 1);
+    let mut out = successor.advance(changes_from(&mut incumbent), 5);
+    out.extend(
+        successor.advance(vec![successor.request(3, 1, Some("k")), successor.request(4, 1, Some("m"))], 5),
+    );
+    out.extend(successor.advance(vec![Input::RequestCancelled(route(5)), Input::PeerProcessEnded], 5));
     assert_eq!(answers(&out), [(3, Answer::Failed(FailureReason::RepeatedWrite))]);
     assert!(launched(&out, 4) && launches(&out) == 1);
-    // Alone it asks nobody.
-    assert!(launched(&heir.after(vec![heir.ask(6, 1, Some("n"))], 5), 6));
+    // Without an incumbent the successor launches writes without a query.
+    assert!(launched(&successor.advance(vec![successor.request(6, 1, Some("n"))], 5), 6));
 }
 
-/// Calls before a run: the work begins once the last stage has ended, and a request that ends before never ran, be it a
-/// write: it is turned away and not failed.
+/// The run begins once the last prefetch stage has ended. A request that ends before then never ran, even if it is a write, so it
+/// is refused instead of failed.
 #[test]
-fn what_is_gathered_comes_before_the_run() {
-    let gathers = |core: &Core, call| match core.ask(call, 2, None) {
-        Input::RequestReceived(o, ask) => Input::RequestReceived(
-            o,
-            Box::new(IncomingRequest { needs_prefetch: true, worker: Worker::Servers, ..*ask }),
+fn a_run_begins_after_its_last_prefetch_stage_and_a_failed_prefetch_is_a_refusal() {
+    let with_prefetch = |core: &Core, request_number| match core.request(request_number, 2, None) {
+        Input::RequestReceived(route, incoming) => Input::RequestReceived(
+            route,
+            Box::new(IncomingRequest { needs_prefetch: true, worker: Worker::Servers, ..*incoming }),
         ),
         other => other,
     };
-    let tickets = |out: &[Output]| -> Vec<u64> {
-        out.iter()
-            .filter_map(
-                |o| if let Output::Prefetch { call_id: ticket, .. } = o { Some(*ticket) } else { None },
-            )
-            .collect()
+    let stages = |out: &[Output]| -> Vec<u64> {
+        let call_id = |output: &Output| match output {
+            Output::Prefetch { call_id, .. } => Some(*call_id),
+            _ => None,
+        };
+        out.iter().filter_map(call_id).collect()
     };
-    let scattered = |out: &[Output]| out.iter().filter(|o| matches!(o, Output::CancelPrefetch(_))).count();
-    let unrun = Answer::Refused { retry_after: Micros(0), is_final: false };
+    let cancelled_prefetches =
+        |out: &[Output]| out.iter().filter(|o| matches!(o, Output::CancelPrefetch(_))).count();
+    let not_run = Answer::Refused { retry_after: Micros(0), is_final: false };
 
     let mut core = Core::started();
-    let out = core.after(vec![gathers(&core, 1)], 10);
-    assert_eq!((launches(&out), tickets(&out)), (0, vec![1]));
+    let out = core.advance(vec![with_prefetch(&core, 1)], 10);
+    assert_eq!((launches(&out), stages(&out)), (0, vec![1]));
     let out = core
-        .after(vec![Input::PrefetchStageEnded { call_id: 1, outcome: Outcome::Good, has_more: true }], 10);
-    assert_eq!((launches(&out), tickets(&out)), (0, vec![2]));
+        .advance(vec![Input::PrefetchStageEnded { call_id: 1, outcome: Outcome::Good, has_more: true }], 10);
+    assert_eq!((launches(&out), stages(&out)), (0, vec![2]));
     let out = core
-        .after(vec![Input::PrefetchStageEnded { call_id: 2, outcome: Outcome::Good, has_more: false }], 10);
-    assert_eq!((launches(&out), tickets(&out)), (1, vec![]));
-    let out = core.after(vec![ended(1, Outcome::Good)], 10);
+        .advance(vec![Input::PrefetchStageEnded { call_id: 2, outcome: Outcome::Good, has_more: false }], 10);
+    assert_eq!((launches(&out), stages(&out)), (1, vec![]));
+    let out = core.advance(vec![run_ended(1, Outcome::Good)], 10);
     assert_eq!(answers(&out), [(1, Answer::Completed(Bytes::from_static(b"result 1")))]);
 
-    // A needed call that may have failed in any way: the write itself never ran.
+    // A required call has failed, in whatever way. The write itself never ran.
     let mut core = Core::started();
-    core.after(vec![gathers(&core, 1)], 10);
+    core.advance(vec![with_prefetch(&core, 1)], 10);
     let out = core
-        .after(vec![Input::PrefetchStageEnded { call_id: 1, outcome: Outcome::Bad, has_more: false }], 10);
-    assert_eq!((answers(&out), scattered(&out)), (vec![(1, unrun.clone())], 1));
+        .advance(vec![Input::PrefetchStageEnded { call_id: 1, outcome: Outcome::Bad, has_more: false }], 10);
+    assert_eq!((answers(&out), cancelled_prefetches(&out)), (vec![(1, not_run.clone())], 1));
     assert!(core.node.is_idle());
 
-    // Its caller leaves, or its time runs out.
+    // The caller leaves, or the request reaches its deadline.
     let mut core = Core::started();
-    core.after(vec![gathers(&core, 1), gathers(&core, 2)], 10);
-    let out = core.after(vec![Input::RequestCancelled(origin(1))], 10);
-    assert_eq!((answers(&out).len(), scattered(&out)), (0, 1));
-    let out = core.after(vec![], 3_000);
-    assert_eq!((answers(&out), scattered(&out), launches(&out)), (vec![(2, unrun)], 1, 0));
+    core.advance(vec![with_prefetch(&core, 1), with_prefetch(&core, 2)], 10);
+    let out = core.advance(vec![Input::RequestCancelled(route(1))], 10);
+    assert_eq!((answers(&out).len(), cancelled_prefetches(&out)), (0, 1));
+    let out = core.advance(vec![], 3_000);
+    assert_eq!((answers(&out), cancelled_prefetches(&out), launches(&out)), (vec![(2, not_run)], 1, 0));
     assert!(core.node.is_idle());
-    // An end that comes after all says nothing any more.
+    // The end of a stage has no effect once its request has been answered.
     let out = core
-        .after(vec![Input::PrefetchStageEnded { call_id: 2, outcome: Outcome::Good, has_more: false }], 10);
+        .advance(vec![Input::PrefetchStageEnded { call_id: 2, outcome: Outcome::Good, has_more: false }], 10);
     assert_eq!(launches(&out), 0);
 }
--- a/tests/keyed_window.rs
+++ b/tests/keyed_window.rs
@@ -20,7 +20,7 @@
 }
 
 fn ask(c: &Core, call: u32, key: &str) -> Input {
-    c.ask(call, 1, Some(key))
+    c.request(call, 1, Some(key))
 }
 
 fn ended(call: u32, end: Outcome) -> Input {
@@ -54,22 +54,22 @@
     for (window, deadline, fresh) in WINDOWS {
         let mut c = core(window, deadline, fresh);
         let first = ask(&c, 1, "k");
-        assert_eq!(seen(&c.after(vec![first], 10)), (vec!["r1".to_owned()], vec![]));
+        assert_eq!(seen(&c.advance(vec![first], 10)), (vec!["r1".to_owned()], vec![]));
         let while_it_runs = ask(&c, 2, "k");
-        let out = c.after(vec![while_it_runs, ended(1, Outcome::Good)], 20);
+        let out = c.advance(vec![while_it_runs, ended(1, Outcome::Good)], 20);
         let (launched, mut answered) = seen(&out);
         answered.sort_by_key(|a| a.0);
         assert_eq!((launched, answered), (vec![], vec![served(1, 1), served(2, 1)]), "{window} {fresh}");
-        c.after(vec![], window - 100);
+        c.advance(vec![], window - 100);
         let late = ask(&c, 3, "k");
         assert_eq!(
-            seen(&c.after(vec![late], 20)),
+            seen(&c.advance(vec![late], 20)),
             (vec![], vec![served(3, 1)]),
             "{window} {deadline} {fresh}"
         );
         // Another key is another write.
         let other = ask(&c, 4, "l");
-        assert_eq!(seen(&c.after(vec![other], 20)).0, ["r4"]);
+        assert_eq!(seen(&c.advance(vec![other], 20)).0, ["r4"]);
     }
 }
 
@@ -81,12 +81,12 @@
             let mut c = core(window, deadline, fresh);
             let first = ask(&c, 1, "k");
             let start = c.now;
-            c.after(vec![first], 10);
-            c.after(vec![ended(1, Outcome::Good)], 10);
-            c.after(vec![], window - 100);
+            c.advance(vec![first], 10);
+            c.advance(vec![ended(1, Outcome::Good)], 10);
+            c.advance(vec![], window - 100);
             c.now = start + ms(window + behind);
             let next = ask(&c, 2, "k");
-            let (launched, answered) = seen(&c.after(vec![next], 20));
+            let (launched, answered) = seen(&c.advance(vec![next], 20));
             assert_eq!(launched.is_empty(), !runs, "{window} {deadline} {fresh} {behind}");
             assert_eq!(answered == [served(2, 1)], !runs, "{window} {deadline} {fresh} {behind}");
         }
@@ -98,16 +98,16 @@
     for (window, deadline, fresh) in WINDOWS {
         let mut c = core(window, deadline, fresh);
         let first = ask(&c, 1, "k");
-        c.after(vec![first], 10);
-        assert_eq!(seen(&c.after(vec![ended(1, Outcome::Good)], 10)).1, [served(1, 1)]);
-        c.after(vec![], window + 100);
+        c.advance(vec![first], 10);
+        assert_eq!(seen(&c.advance(vec![ended(1, Outcome::Good)], 10)).1, [served(1, 1)]);
+        c.advance(vec![], window + 100);
         let next = ask(&c, 2, "k");
         assert_eq!(
-            seen(&c.after(vec![next], 20)),
+            seen(&c.advance(vec![next], 20)),
             (vec!["r2".to_owned()], vec![]),
             "{window} {deadline} {fresh}"
         );
-        assert_eq!(seen(&c.after(vec![ended(2, Outcome::Good)], 10)).1, [served(2, 2)]);
+        assert_eq!(seen(&c.advance(vec![ended(2, Outcome::Good)], 10)).1, [served(2, 2)]);
     }
 }
 
@@ -116,17 +116,17 @@
     for (window, deadline, fresh) in WINDOWS {
         let mut c = core(window, deadline, fresh);
         let first = ask(&c, 1, "k");
-        c.after(vec![first], 10);
+        c.advance(vec![first], 10);
         assert_eq!(
-            seen(&c.after(vec![ended(1, Outcome::Bad)], 10)).1,
+            seen(&c.advance(vec![ended(1, Outcome::Bad)], 10)).1,
             [(1, Answer::Failed(FailureReason::RunFailed))]
         );
         let again = ask(&c, 2, "k");
-        let (launched, answered) = seen(&c.after(vec![again], 20));
+        let (launched, answered) = seen(&c.advance(vec![again], 20));
         assert!(launched.is_empty() && matches!(answered[..], [(2, Answer::Failed(_))]), "{answered:?}");
-        c.after(vec![], window + 100);
+        c.advance(vec![], window + 100);
         let next = ask(&c, 3, "k");
-        assert_eq!(seen(&c.after(vec![next], 20)).0, ["r3"], "{window} {deadline} {fresh}");
+        assert_eq!(seen(&c.advance(vec![next], 20)).0, ["r3"], "{window} {deadline} {fresh}");
     }
 }
 
@@ -150,9 +150,9 @@
                 keep_until: window_end + ms(deadline),
             };
             let result = Bytes::from_static(b"result 9");
-            c.after(vec![Input::ChangeReceived(Change::Known(other, Progress::Good(result)))], late);
+            c.advance(vec![Input::ChangeReceived(Change::Known(other, Progress::Good(result)))], late);
             let repeat = ask(&c, 1, "k");
-            let (launched, answered) = seen(&c.after(vec![repeat], 20));
+            let (launched, answered) = seen(&c.advance(vec![repeat], 20));
             if runs {
                 assert_eq!(
                     (launched, answered),
