--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Bytes that cross the moment in which this side closes a connection: a real driver on a loopback socket, with what has
-//! come in and what it is told both there before it takes its first step. The table is `docs/design/crossings.md`.
+//! Requests that arrive while the node closes their connection. A real connection driver runs on a loopback socket; the bytes
+//! received and the command to close are both there before the driver starts. `docs/design/crossings.md` lists the cases.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
@@ -22,8 +22,8 @@
 use tokio::sync::mpsc;
 use tokio_util::codec::Decoder;
 
-/// One connection of the platform's front, whose driver has not been started yet.
-struct Crossing {
+/// A connection of the MessagePack front, whose driver has not been started yet.
+struct PendingConnection {
     caller: TcpStream,
     stream: TcpStream,
     doorman: Doorman,
@@ -32,15 +32,16 @@
     inbox: mpsc::Receiver<Reply>,
 }
 
-/// What the driver told, in its order, and what the caller read until the end.
+/// The requests that the driver reported in order, the answers that the caller read until the end, and the reason for the close.
 #[derive(Debug)]
-struct Seen {
-    asked: Vec<u32>,
+struct ConnectionRecord {
+    requested: Vec<u32>,
     answered: Vec<i128>,
     end: End,
 }
 
-fn ask(id: i128) -> Vec<u8> {
+/// A MessagePack request with this id.
+fn request_bytes(id: i128) -> Vec<u8> {
     let body = Value::Bin(Bytes::from_static(b"1 x"));
     let params = Value::Array(vec![fields(&format!("r{id}"), &[]), body]);
     let mut out = BytesMut::new();
@@ -48,12 +49,13 @@
     out.to_vec()
 }
 
-impl Crossing {
-    fn new() -> Crossing {
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
-        let caller = TcpStream::connect(listener.local_addr().expect("an address")).expect("connected");
-        caller.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
-        let stream = listener.accept().expect("accepted").0;
+impl PendingConnection {
+    fn new() -> PendingConnection {
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a loopback port can be bound");
+        let caller = TcpStream::connect(listener.local_addr().expect("a bound listener has an address"))
+            .expect("the listener accepts a connection");
+        caller.set_read_timeout(Some(Duration::from_secs(20))).expect("the read timeout can be set");
+        let stream = listener.accept().expect("the connection can be accepted").0;
         let gate = GateSettings { profile: Profile::STRICT, room: 8, half_in: 64 << 10 };
         let mut door = Door::new(DoorSettings {
             gates: vec![gate],
@@ -61,192 +63,217 @@
             owed: 1 << 20,
             sources: Edge::default().door(&config()).sources,
         });
-        let from = stream.peer_addr().expect("an address").ip();
-        let Admission::Enter(id) = door.admit(process::now(), GateId(0), from) else { panic!("no room") };
+        let from = stream.peer_addr().expect("a connected stream has a peer address").ip();
+        let Admission::Enter(id) = door.admit(process::now(), GateId(0), from) else {
+            panic!("the first connection must be admitted");
+        };
         let (replies, inbox) = mpsc::channel(96);
-        Crossing { caller, stream, doorman: Doorman::new(door), id, replies, inbox }
+        PendingConnection { caller, stream, doorman: Doorman::new(door), id, replies, inbox }
     }
 
-    /// The caller writes, and the system has it at the node's side.
-    fn write(&mut self, bytes: &[u8], all: usize) {
-        self.caller.write_all(bytes).expect("written");
-        let mut there = vec![0; all];
-        while self.stream.peek(&mut there).expect("there") < all {}
+    /// Writes as the caller, and waits until the node's socket holds `expected_len` unread bytes.
+    fn write(&mut self, bytes: &[u8], expected_len: usize) {
+        self.caller.write_all(bytes).expect("the caller can write");
+        let mut unread = vec![0; expected_len];
+        while self.stream.peek(&mut unread).expect("the node's socket can be read") < expected_len {}
     }
 
-    fn told(&self, reply: Reply) {
-        self.replies.try_send(reply).expect("room");
+    /// Queues a reply or command for the driver.
+    fn queue_reply(&self, reply: Reply) {
+        self.replies.try_send(reply).expect("the driver's queue has room");
     }
 
-    /// Runs the driver to its end: each request is answered when the core hears of it, and just before the answer to the
-    /// last one that is to come `then` is said.
-    async fn run(self, expected: usize, then: Option<Reply>) -> Seen {
-        let Crossing { mut caller, stream, doorman, id, replies, inbox } = self;
-        stream.set_nonblocking(true).expect("set");
+    /// Runs the driver to its end. Each request is answered as soon as the driver reports it. `before_last` is sent to the
+    /// driver just before the answer to the last of the `expected` requests.
+    async fn run(self, expected: usize, before_last: Option<Reply>) -> ConnectionRecord {
+        let PendingConnection { mut caller, stream, doorman, id, replies, inbox } = self;
+        stream.set_nonblocking(true).expect("the stream can be made non-blocking");
         let reader = std::thread::spawn(move || {
-            let (mut bytes, mut all, mut codec) = (BytesMut::new(), Vec::new(), ValueCodec::default());
+            let (mut bytes, mut answered, mut codec) = (BytesMut::new(), Vec::new(), ValueCodec::default());
             let mut buffer = [0; 4096];
             while let Ok(n @ 1..) = caller.read(&mut buffer) {
                 bytes.extend_from_slice(&buffer[..n]);
-                while let Some(Value::Array(m)) = codec.decode(&mut bytes).expect("MessagePack") {
-                    if let [Value::Int(1), Value::Int(id), ..] = m[..] {
-                        all.push(id);
+                while let Some(Value::Array(message)) =
+                    codec.decode(&mut bytes).expect("the node writes valid MessagePack")
+                {
+                    if let [Value::Int(1), Value::Int(id), ..] = message[..] {
+                        answered.push(id);
                     }
                 }
             }
-            all
+            answered
         });
         let local = tokio::task::LocalSet::new();
-        let (asked, end) = local
+        let (requested, end) = local
             .run_until(async {
-                let settings = holdlift::settings::from_json(&settings(2, 3_000, 6_000)).expect("settings");
+                let settings = holdlift::settings::from_json(&settings(2, 3_000, 6_000))
+                    .expect("the settings are valid");
                 let session = Caller::new(id.0, InForce::new(settings), process::arrivals());
-                let (events, mut said) = mpsc::channel::<FromConn>(64);
-                let stream = tokio::net::TcpStream::from_std(stream).expect("a socket");
+                let (events, mut reported) = mpsc::channel::<FromConn>(64);
+                let stream = tokio::net::TcpStream::from_std(stream)
+                    .expect("the stream can be registered with the runtime");
                 let with = (doorman, Duration::from_millis(50));
                 let codec = ValueCodec::default();
                 let conn = (Wire::Msgpack, id);
                 tokio::task::spawn_local(driver::serve(conn, stream, session, codec, events, inbox, with));
-                let (mut asked, mut then) = (Vec::new(), then);
+                let (mut requested, mut before_last) = (Vec::new(), before_last);
                 loop {
-                    match within("the driver's word", said.recv()).await.expect("an end comes first") {
-                        FromConn::Input(Input::RequestReceived(
-                            ResponseRoute { request_number: call, .. },
-                            _,
-                        )) => {
-                            asked.push(call);
-                            // Ahead of the answer, so that something is open when it is heard.
-                            if asked.len() == expected
-                                && let Some(reply) = then.take()
+                    match within("an event of the driver", reported.recv())
+                        .await
+                        .expect("the driver reports the close before it ends")
+                    {
+                        FromConn::Input(Input::RequestReceived(ResponseRoute { request_number, .. }, _)) => {
+                            requested.push(request_number);
+                            // Sent before the answer, so that a request is open when the driver handles it.
+                            if requested.len() == expected
+                                && let Some(reply) = before_last.take()
                             {
-                                replies.send(reply).await.expect("open");
+                                replies.send(reply).await.expect("the driver is running");
                             }
-                            let origin = ResponseRoute {
+                            let route = ResponseRoute {
                                 front: Wire::Msgpack.front(),
                                 connection: id.0,
-                                request_number: call,
+                                request_number,
                             };
-                            let served = Answer::Completed(Bytes::from_static(b"done"));
-                            replies.send(Reply::Answer(origin, served, None)).await.expect("open");
+                            let answer = Answer::Completed(Bytes::from_static(b"done"));
+                            replies
+                                .send(Reply::Answer(route, answer, None))
+                                .await
+                                .expect("the driver is running");
                         }
                         FromConn::Input(_) => {}
-                        FromConn::Closed { end, .. } => break (asked, end),
+                        FromConn::Closed { end, .. } => break (requested, end),
                     }
                 }
             })
             .await;
-        // The driver's last words go out while the set is driven on.
-        let answered = local.run_until(tokio::task::spawn_blocking(move || reader.join().expect("read")));
-        Seen { asked, answered: answered.await.expect("joined"), end }
+        // The driver writes its last bytes while the local task set runs on.
+        let answered = local.run_until(tokio::task::spawn_blocking(move || {
+            reader.join().expect("the reader thread does not panic")
+        }));
+        ConnectionRecord {
+            requested,
+            answered: answered.await.expect("the joining task does not panic"),
+            end,
+        }
     }
 }
 
 fn config() -> holdlift::config::Config {
     let json = serde_json::json!({"name": "n0", "settings": settings(2, 3_000, 6_000)});
-    serde_json::from_value(json).expect("a configuration")
+    serde_json::from_value(json).expect("the JSON is a valid configuration")
 }
 
-/// A whole request lies unread on a resting connection when this side wants it closed: it is answered, whoever wants it.
+/// A complete request lies unread on an idle connection when the node decides to close the connection. The request is answered,
+/// whatever the reason for the close.
 #[tokio::test]
-async fn a_request_that_crosses_a_close_is_answered() {
+async fn a_complete_unread_request_is_answered_despite_a_close() {
     let closes = [
         ("leaving", Reply::Finish),
         ("idle", Reply::CloseIdle(Micros(0))),
-        ("nothing asked", Reply::Door(Verdict::Close(End::Silent))),
+        ("without any request", Reply::Door(Verdict::Close(End::Silent))),
         ("too slow", Reply::Door(Verdict::Close(End::Slow))),
-        ("in the way", Reply::Door(Verdict::Close(End::Crowded))),
+        ("crowded out", Reply::Door(Verdict::Close(End::Crowded))),
     ];
-    for (why, close) in closes {
-        let mut c = Crossing::new();
-        let bytes = ask(1);
-        c.write(&bytes, bytes.len());
-        c.told(close);
-        // Those that stay are ended when the request has been heard of.
-        let seen = c.run(1, Some(Reply::Finish)).await;
-        assert_eq!((seen.asked, seen.answered, seen.end), (vec![1], vec![1], End::Finished), "{why}");
+    for (reason, close) in closes {
+        let mut connection = PendingConnection::new();
+        let bytes = request_bytes(1);
+        connection.write(&bytes, bytes.len());
+        connection.queue_reply(close);
+        // A connection that stays open is finished once the driver has reported the request.
+        let record = connection.run(1, Some(Reply::Finish)).await;
+        assert_eq!(
+            (record.requested, record.answered, record.end),
+            (vec![1], vec![1], End::Finished),
+            "{reason}"
+        );
     }
 }
 
-/// Two in a row, the second one in the instant in which the first one's answer leaves and the process with it.
+/// Several complete requests lie unread when the process is about to leave. The later ones are read only after the first answer is
+/// written, and all are answered.
 #[tokio::test]
-async fn requests_up_to_the_last_look_are_answered() {
-    let mut c = Crossing::new();
-    let bytes = [ask(1), ask(2), ask(3)].concat();
-    c.write(&bytes, bytes.len());
-    c.told(Reply::Finish);
-    let seen = c.run(3, None).await;
-    assert_eq!((seen.asked, seen.answered, seen.end), (vec![1, 2, 3], vec![1, 2, 3], End::Finished));
+async fn all_requests_received_before_the_last_read_are_answered() {
+    let mut connection = PendingConnection::new();
+    let bytes = [request_bytes(1), request_bytes(2), request_bytes(3)].concat();
+    connection.write(&bytes, bytes.len());
+    connection.queue_reply(Reply::Finish);
+    let record = connection.run(3, None).await;
+    assert_eq!(
+        (record.requested, record.answered, record.end),
+        (vec![1, 2, 3], vec![1, 2, 3], End::Finished)
+    );
 }
 
-/// Half a line stays half a line: who leaves or makes room does not wait for the rest, and nothing of it is a request.
+/// A close for leaving, crowding or slowness does not wait for the rest of an incomplete message, which is not taken for a request.
 #[tokio::test]
-async fn half_a_line_is_no_request() {
+async fn an_incomplete_message_is_dropped_by_a_close_and_is_not_a_request() {
     let closes = [
         (Reply::Finish, End::Finished),
         (Reply::Door(Verdict::Close(End::Crowded)), End::Crowded),
         (Reply::Door(Verdict::Close(End::Slow)), End::Slow),
     ];
     for (close, end) in closes {
-        let mut c = Crossing::new();
-        let bytes = ask(1);
-        c.write(&bytes[..bytes.len() / 2], bytes.len() / 2);
-        c.told(close);
-        let seen = c.run(0, None).await;
-        assert_eq!((seen.asked, seen.answered, seen.end), (vec![], vec![], end));
+        let mut connection = PendingConnection::new();
+        let bytes = request_bytes(1);
+        connection.write(&bytes[..bytes.len() / 2], bytes.len() / 2);
+        connection.queue_reply(close);
+        let record = connection.run(0, None).await;
+        assert_eq!((record.requested, record.answered, record.end), (vec![], vec![], end));
     }
 }
 
-/// One byte of a request speaks against idleness, and the rest of it is waited for.
+/// A connection with the first byte of a request is not idle: it stays open for the rest of the request.
 #[tokio::test]
-async fn a_first_byte_keeps_an_idle_connection() {
+async fn the_first_byte_of_a_request_keeps_a_connection_from_closing_as_idle() {
     for close in [Reply::CloseIdle(Micros(0)), Reply::Door(Verdict::Close(End::Silent))] {
-        let mut c = Crossing::new();
-        let bytes = ask(1);
-        c.write(&bytes[..1], 1);
-        c.told(close);
-        let mut rest = c.caller.try_clone().expect("a copy");
-        let (early, late) = (bytes[1..].to_vec(), c.replies.clone());
-        // Room for all but one says that the driver has taken the word and decided on it.
+        let mut connection = PendingConnection::new();
+        let bytes = request_bytes(1);
+        connection.write(&bytes[..1], 1);
+        connection.queue_reply(close);
+        let mut caller = connection.caller.try_clone().expect("the caller's stream can be cloned");
+        let (rest_of_request, queue) = (bytes[1..].to_vec(), connection.replies.clone());
+        // Once the queue is empty, the driver has taken the command and acted on it.
         let writer = tokio::spawn(async move {
-            while late.capacity() < late.max_capacity() {
+            while queue.capacity() < queue.max_capacity() {
                 tokio::task::yield_now().await;
             }
-            rest.write_all(&early).expect("written");
+            caller.write_all(&rest_of_request).expect("the caller can write");
         });
-        let seen = c.run(1, Some(Reply::Finish)).await;
-        writer.await.expect("written");
-        assert_eq!((seen.asked, seen.answered, seen.end), (vec![1], vec![1], End::Finished));
+        let record = connection.run(1, Some(Reply::Finish)).await;
+        writer.await.expect("the writing task does not panic");
+        assert_eq!((record.requested, record.answered, record.end), (vec![1], vec![1], End::Finished));
     }
 }
 
-/// What can't be read ends its connection by its own end, once what was read whole before has its answer; nothing behind
-/// it is taken in.
+/// Bytes that cannot be parsed end their connection with a specific reason, after the requests read before them are answered. No
+/// request after them is read.
 #[tokio::test]
-async fn what_was_read_before_nonsense_is_answered() {
+async fn requests_before_invalid_bytes_are_answered_and_those_after_are_not_read() {
     let oversized = [&b"\xc6\x7f\xff\xff\xff"[..], &vec![0; 40 << 10]].concat();
-    let nonsense: [(&str, Vec<u8>, End); 4] = [
-        ("no MessagePack", b"\xc1".to_vec(), End::Malformed),
-        ("no message", b"\x93\x01\x02\x03".to_vec(), End::Malformed),
-        ("an id in use", ask(1), End::Malformed),
+    let invalid: [(&str, Vec<u8>, End); 4] = [
+        ("invalid MessagePack", b"\xc1".to_vec(), End::Malformed),
+        ("not a request or cancellation", b"\x93\x01\x02\x03".to_vec(), End::Malformed),
+        ("a request id that is already open", request_bytes(1), End::Malformed),
         ("too large", oversized, End::Oversized),
     ];
-    for (what, bytes, end) in nonsense {
-        let mut c = Crossing::new();
-        let first = ask(1);
-        let all = [&first[..], &bytes, &ask(2)].concat();
-        let there = all.len();
-        c.write(&all, there);
-        let seen = c.run(1, None).await;
-        assert_eq!((seen.asked, seen.answered, seen.end), (vec![1], vec![1], end), "{what}");
+    for (what, bytes, end) in invalid {
+        let mut connection = PendingConnection::new();
+        let first = request_bytes(1);
+        let stream = [&first[..], &bytes, &request_bytes(2)].concat();
+        let len = stream.len();
+        connection.write(&stream, len);
+        let record = connection.run(1, None).await;
+        assert_eq!((record.requested, record.answered, record.end), (vec![1], vec![1], end), "{what}");
     }
 }
 
-/// A message that does not become whole in its time ends the connection, but not what is open on it.
+/// A message that is not complete in time ends the connection, after the open requests on it are answered.
 #[tokio::test]
-async fn what_was_read_before_half_a_line_is_answered() {
-    let mut c = Crossing::new();
-    let all = [ask(1), ask(2)[..9].to_vec()].concat();
-    c.write(&all, all.len());
-    let seen = c.run(1, Some(Reply::Door(Verdict::Close(End::Slow)))).await;
-    assert_eq!((seen.asked, seen.answered, seen.end), (vec![1], vec![1], End::Slow));
+async fn requests_before_an_incomplete_message_are_answered() {
+    let mut connection = PendingConnection::new();
+    let stream = [request_bytes(1), request_bytes(2)[..9].to_vec()].concat();
+    connection.write(&stream, stream.len());
+    let record = connection.run(1, Some(Reply::Door(Verdict::Close(End::Slow)))).await;
+    assert_eq!((record.requested, record.answered, record.end), (vec![1], vec![1], End::Slow));
 }
--- a/tests/faults/calls.rs
+++ b/tests/faults/calls.rs
@@ -1,11 +1,11 @@
-//! System calls fail in the ways that their pages document as passing. The table says what becomes of each; none ends the process,
-//! and no request that was read goes without its answer.
+//! System calls that fail with errors which their manual pages document as temporary. No such failure ends the process, and every
+//! request that was read is answered.
 
 use holdlift::front::msgpack::pack::{Value, text};
 use holdlift_lab::shim::{Call, SHORT};
 use holdlift_lab::*;
 
-use crate::started;
+use crate::start_node_with_shim;
 
 const EPERM: i64 = 1;
 const EINTR: i64 = 4;
@@ -23,13 +23,13 @@
 const ETIMEDOUT: i64 = 110;
 const EHOSTUNREACH: i64 = 113;
 
-/// How often a call fails before it works again.
-const TIMES: i64 = 3;
+/// Number of failures of a system call before it succeeds again.
+const FAILURE_COUNT: i64 = 3;
 
-/// Accepting fails: a later try takes the connection that waits in the queue, and its request is answered.
+/// Accepting a connection fails. A later attempt accepts the connection, which waits in the queue, and its request is answered.
 #[tokio::test]
-async fn accepting_that_fails_is_tried_again() {
-    let (shim, node, mut link, _agents) = started().await;
+async fn a_failed_accept_is_retried() {
+    let (shim, node, mut link, _agents) = start_node_with_shim().await;
     let faults = [
         ECONNABORTED,
         EMFILE,
@@ -46,57 +46,62 @@
         ETIMEDOUT,
     ];
     for (n, errno) in faults.into_iter().enumerate() {
-        shim.fail(Call::Accept, errno, TIMES);
+        shim.fail(Call::Accept, errno, FAILURE_COUNT);
         let name = format!("r{n}");
         let mut caller = Caller::connect(node.msgpack).await;
         caller.ask(1, "proof", fields(&name, &[]), "body").await;
         assert_eq!(link.next_command().await, Some(format!("launch {name} proof 4")), "errno {errno}");
         link.say(&format!("outcome {} {name} ok 3.5 4\r\ndone\r\n", n + 1)).await;
-        assert_eq!(caller.answer().await.expect("an answer").word, "ok", "errno {errno}");
-        assert_eq!(shim.left(Call::Accept), 0, "errno {errno}: accepting did not fail");
+        assert_eq!(caller.answer().await.expect("the request is answered").word, "ok", "errno {errno}");
+        assert_eq!(
+            shim.left(Call::Accept),
+            0,
+            "errno {errno}: the accept calls have not failed as often as injected"
+        );
     }
     let rest = tokio::spawn(link.rest());
     let (_, good, log) = node.leave().await;
     assert!(good, "{log}");
-    rest.await.expect("read");
+    rest.await.expect("the scripted link does not panic");
 }
 
-/// The link to the agent cannot be made for a while: the node goes on trying, and serves once it is there.
+/// The node cannot connect to the agent for a while. It keeps trying, and serves once the link is established.
 #[tokio::test]
-async fn a_link_that_cannot_be_made_is_tried_again() {
+async fn a_failed_connection_to_the_agent_is_retried() {
     let faults = [
         (Call::Connect, [EADDRNOTAVAIL, ENETUNREACH, ETIMEDOUT, EHOSTUNREACH, ENOBUFS, EINTR]),
         (Call::Socket, [EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR, ENOBUFS]),
     ];
     for (call, errors) in faults {
         for errno in errors {
-            let (shim, node, link, agents) = started().await;
+            let (shim, node, link, agents) = start_node_with_shim().await;
             let mut caller = Caller::connect(node.msgpack).await;
             caller.healthy().await;
-            shim.fail(call, errno, TIMES);
+            shim.fail(call, errno, FAILURE_COUNT);
             drop(link);
             let links = tokio::spawn(async move {
                 let mut link = ScriptedLink::accept(&agents).await;
                 link.greet("").await;
                 link.rest().await
             });
-            let again = within("the fault", async {
+            let injected = within("the injected failures", async {
                 while shim.left(call) > 0 {
                     tokio::time::sleep(std::time::Duration::from_millis(2)).await;
                 }
             });
-            again.await;
+            injected.await;
             assert!(caller.health(1_000).await, "{call:?}, errno {errno}");
             let (_, good, log) = node.leave().await;
             assert!(good && log.contains("links=2"), "{call:?}, errno {errno}: {log}");
-            links.await.expect("a second link");
+            links.await.expect("the scripted agent does not panic");
         }
     }
 }
 
-/// Reads and writes are short or interrupted, the wait is interrupted: every request is read whole and answered once.
+/// Reads and writes are short or interrupted, or the wait for events is interrupted. Every request is read completely and answered
+/// once.
 #[tokio::test]
-async fn short_and_interrupted_calls_change_nothing() {
+async fn short_and_interrupted_system_calls_lose_no_request() {
     for (call, fault) in [
         (Call::Recv, SHORT),
         (Call::Send, SHORT),
@@ -104,7 +109,7 @@
         (Call::Send, EINTR),
         (Call::EpollWait, EINTR),
     ] {
-        let (shim, node, mut link, _agents) = started().await;
+        let (shim, node, mut link, _agents) = start_node_with_shim().await;
         let mut caller = Caller::connect(node.msgpack).await;
         caller.healthy().await;
         for n in 1..=3 {
@@ -113,21 +118,21 @@
             caller.ask(100 + n, "proof", fields(&name, &[]), "body").await;
             assert_eq!(link.next_command().await, Some(format!("launch {name} proof 4")), "{call:?} {fault}");
             link.say(&format!("outcome {n} {name} ok 3.5 4\r\ndone\r\n")).await;
-            let answer = caller.answer().await.expect("an answer");
+            let answer = caller.answer().await.expect("the request is answered");
             assert_eq!((answer.id, answer.word.as_str()), (100 + n, "ok"), "{call:?} {fault}");
         }
         shim.fail(call, 0, 0);
         let rest = tokio::spawn(link.rest());
         let (_, good, log) = node.leave().await;
         assert!(good, "{call:?} {fault}: {log}");
-        rest.await.expect("read");
+        rest.await.expect("the scripted link does not panic");
     }
 }
 
-/// One connection's reads or writes fail: that connection ends, the others and the process do not, and what its caller had asked
-/// is over with it.
+/// Reads or writes of one connection fail. That connection ends, and with it the requests of its caller; the other connections and
+/// the process do not end.
 #[tokio::test]
-async fn a_failing_connection_ends_alone() {
+async fn a_connection_whose_system_calls_fail_ends_alone() {
     for (call, errno) in [
         (Call::Recv, ECONNRESET),
         (Call::Recv, ETIMEDOUT),
@@ -137,7 +142,7 @@
         (Call::Send, ENOBUFS),
         (Call::Send, ENOMEM),
     ] {
-        let (shim, node, link, agents) = started().await;
+        let (shim, node, link, agents) = start_node_with_shim().await;
         let mut caller = Caller::connect(node.msgpack).await;
         caller.healthy().await;
         let links = tokio::spawn(async move {
@@ -148,9 +153,9 @@
                 link.rest().await;
             }
         });
-        // Whose call it is that fails is not known: the agent's link may be the one, and is made again.
+        // The failing call may belong to any connection, such as the agent link, which is then connected again.
         shim.fail(call, errno, 2);
-        within("the fault", async {
+        within("the injected failures", async {
             while shim.left(call) > 0 {
                 let mut other = Caller::connect(node.msgpack).await;
                 other.raw(&[0x94]).await;
@@ -166,10 +171,11 @@
     }
 }
 
-/// Calls fail in passing while a request is in hand on a connection that goes on asking: the connection lives on, and the request has
-/// its answer on it. The agent's link, whose calls fail as well, is made anew and tells again how the run ended.
+/// System calls fail temporarily while a request is open on a connection that continues to send health checks. The connection stays
+/// open, and the request is answered on it. Calls of the agent link fail as well; the link is connected again, and the agent repeats
+/// how the run ended.
 #[tokio::test]
-async fn a_request_in_hand_outlasts_failures_that_pass() {
+async fn an_open_request_survives_transient_failures_of_its_connection() {
     let faults = [
         (Call::Recv, ENOMEM),
         (Call::Recv, ETIMEDOUT),
@@ -178,7 +184,7 @@
         (Call::Send, ENOMEM),
     ];
     for (call, errno) in faults {
-        let (shim, node, mut link, agents) = started().await;
+        let (shim, node, mut link, agents) = start_node_with_shim().await;
         let mut caller = Caller::connect(node.msgpack).await;
         caller.ask(1, "proof", fields("r1", &[]), "body").await;
         assert_eq!(link.next_command().await.as_deref(), Some("launch r1 proof 4"));
@@ -191,7 +197,7 @@
             let agents = std::sync::Arc::new(agents);
             loop {
                 let agents = agents.clone();
-                // A link that fails while it is made is no failure of the test: the next one is made anew.
+                // A link may fail while it is established. The test then accepts the next one.
                 let _ = tokio::spawn(async move {
                     let mut link = ScriptedLink::accept(&agents).await;
                     let missed = if link.subscribed == 0 { "outcome 1 r1 ok 3.5 4\r\ndone\r\n" } else { "" };
@@ -209,7 +215,7 @@
             tokio::time::sleep(std::time::Duration::from_millis(3)).await;
         }
         drop(end);
-        let word = within("the answer", async {
+        let error = within("the answer", async {
             loop {
                 let Some(Value::Array(message)) = caller.next().await else { return None };
                 if message[1] == Value::Int(1) {
@@ -217,7 +223,7 @@
                 }
             }
         });
-        assert_eq!(word.await, Some(Value::Nil), "{call:?}, errno {errno}");
+        assert_eq!(error.await, Some(Value::Nil), "{call:?}, errno {errno}");
         shim.fail(call, 0, 0);
         let (_, good, log) = node.leave().await;
         assert!(good, "{call:?}, errno {errno}: {log}");
@@ -225,11 +231,11 @@
     }
 }
 
-/// Signals come while reads are interrupted or the system is short of memory: each is taken, and the process lives.
+/// Signals come while reads are interrupted or the system is short of memory. The process handles each signal and does not crash.
 #[tokio::test]
-async fn signals_are_taken_while_reads_fail() {
+async fn signals_are_handled_while_reads_fail() {
     for errno in [EINTR, ENOMEM] {
-        let (shim, node, link, _agents) = started().await;
+        let (shim, node, link, _agents) = start_node_with_shim().await;
         let rest = tokio::spawn(link.rest());
         shim.fail(Call::Recv, errno, 5);
         node.reload().await;
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -1,4 +1,4 @@
-//! Replacing the process under load, on real sockets.
+//! Hot restarts on real sockets: a successor process takes over from the incumbent under load and under faults.
 
 mod net;
 
@@ -11,49 +11,55 @@
 use net::*;
 use tokio::time::sleep;
 
-async fn farm() -> (Arc<Farm>, SocketAddr) {
+/// Starts a simulated agent with two cores; returns it and its address.
+async fn start_farm() -> (Arc<Farm>, SocketAddr) {
     let (agents, agent) = bind().await;
     let farm = Farm::new(2);
     tokio::spawn(farm.clone().agent(agents));
     (farm, agent)
 }
 
-fn keyed() -> serde_json::Value {
-    let mut s = settings(2, 3_000, 6_000);
-    s["classes"][2]["effect"] = "dedup".into();
-    s
+/// Settings in which the class `book-job` deduplicates by key.
+fn keyed_settings() -> serde_json::Value {
+    let mut settings = settings(2, 3_000, 6_000);
+    settings["classes"][2]["effect"] = "dedup".into();
+    settings
 }
 
-/// Replaces a node: starts a successor, waits for its yes, and has the old one leave.
-async fn replace(node: Node, agent: SocketAddr) -> (Node, tokio::task::JoinHandle<(Duration, bool, String)>) {
-    let heir = node.succeed(agent).await;
-    heir.ready().await;
-    (heir, tokio::spawn(node.leave()))
+/// Replaces a process: starts a successor, waits until it is ready, and sends the incumbent the notice to leave. Returns the
+/// successor and the incumbent's departure.
+async fn replace(
+    incumbent: Node,
+    agent: SocketAddr,
+) -> (Node, tokio::task::JoinHandle<(Duration, bool, String)>) {
+    let successor = incumbent.succeed(agent).await;
+    successor.ready().await;
+    (successor, tokio::spawn(incumbent.leave()))
 }
 
-/// Under load, over five upgrades in a row: no connection is refused, reset or left unread, nothing that the old one
-/// holds is lost, the directory never hears `closed`, and no write runs twice although each is repeated at the successor.
+/// Five hot restarts in a row under load. No connection is refused, reset or left unread, no open request of an incumbent is lost, the
+/// directory never receives `closed`, and no write runs twice although each is repeated at the successor.
 #[tokio::test]
-async fn five_upgrades_under_load() {
-    let heard = Heard::default();
+async fn five_hot_restarts_under_load_lose_no_request_and_run_no_write_twice() {
+    let directory_reports = Heard::default();
     let (directories, lookup) = bind().await;
-    tokio::spawn(http(directories, "lookup", heard.clone(), "HTTP/1.1 204 No Content\r\n\r\n"));
-    let (first, agent) = farm().await;
+    tokio::spawn(http(directories, "lookup", directory_reports.clone(), "HTTP/1.1 204 No Content\r\n\r\n"));
+    let (first, agent) = start_farm().await;
     let mut farms = vec![first];
     let setup = Setup { settings: settings(2, 3_000, 6_000), lookup: Some(lookup), ..Setup::default() };
     let mut node = Setup { agent: Some(agent), stop_ms: 4_000, ..setup }.start().await;
     let at = node.msgpack;
     node.ready().await;
-    // Newcomers all the while: one connection for each check.
-    let (stop, lost, met) =
+    // New connections throughout, each of which sends one health check.
+    let (stop, failed_checks, checks) =
         (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
-    let crowd = {
-        let (stop, lost, met) = (stop.clone(), lost.clone(), met.clone());
+    let checker = {
+        let (stop, failed_checks, checks) = (stop.clone(), failed_checks.clone(), checks.clone());
         tokio::spawn(async move {
             while !stop.load(Ordering::SeqCst) {
-                let good = check(at).await;
-                met.fetch_add(1, Ordering::SeqCst);
-                lost.fetch_add(u32::from(!good), Ordering::SeqCst);
+                let succeeded = check(at).await;
+                checks.fetch_add(1, Ordering::SeqCst);
+                failed_checks.fetch_add(u32::from(!succeeded), Ordering::SeqCst);
             }
         })
     };
@@ -65,158 +71,168 @@
             c.ask(id, "quote", fields(&format!("q{round}-{id}"), &[]), &format!("30 q{round}-{id}")).await;
         }
         sleep(Duration::from_millis(50)).await;
-        let mut told = Caller::connect(at).await;
-        told.healthy().await;
-        let (next, agent) = farm().await;
+        let mut observer = Caller::connect(at).await;
+        observer.healthy().await;
+        let (next, agent) = start_farm().await;
         farms.push(next);
-        let (heir, leaving) = replace(node, agent).await;
-        // From then on the old one takes no connections: until it does, either may, and the old one is gone before the second
-        // try.
-        told.last_call().await;
-        // The same try again, on a new connection: it runs in the old process, or did.
-        let mut again = Caller::connect(at).await;
+        let (successor, leaving) = replace(node, agent).await;
+        // Until the incumbent announces its drain either process may accept a connection; from then on only the successor
+        // does. The incumbent has ended before the second repeat.
+        observer.last_call().await;
+        // The same attempt is sent again on a new connection. It is running in the incumbent, or has run there.
+        let mut repeater = Caller::connect(at).await;
         let mut words = Vec::new();
         for id in 1..3 {
-            again.ask(id, "book-job", fields(&name, &[]), &format!("1 {name}")).await;
-            words.push(again.answer().await.expect("an answer").word);
+            repeater.ask(id, "book-job", fields(&name, &[]), &format!("1 {name}")).await;
+            words.push(repeater.answer().await.expect("the request is answered").word);
             sleep(Duration::from_millis(400)).await;
         }
-        // The old process closes, with nothing owed; its last call may come behind its last answer.
+        // The incumbent closes the connection once all is answered; its drain announcement may come after its last answer.
         let mut answers = Vec::new();
         while let Some(a) = c.answer().await {
             answers.push((a.word, a.id, a.fields));
         }
-        let (_, good, log) = leaving.await.expect("left");
+        let (_, good, log) = leaving.await.expect("the incumbent leaves");
         let ok = answers.iter().filter(|a| a.0 == "ok").count();
-        let all = (words, ok, answers.len());
-        assert_eq!(all, (vec!["Error".to_owned(); 2], 11, 11), "round {round}: {answers:?}\n{log}");
+        let observed = (words, ok, answers.len());
+        assert_eq!(observed, (vec!["Error".to_owned(); 2], 11, 11), "round {round}: {answers:?}\n{log}");
         assert!(good && log.contains("replaced: ") && !log.contains("drain: "), "{log}");
-        node = heir;
+        node = successor;
     }
     stop.store(true, Ordering::SeqCst);
-    crowd.await.expect("newcomers");
-    assert!(met.load(Ordering::SeqCst) > 50, "there were newcomers");
-    assert_eq!(lost.load(Ordering::SeqCst), 0, "of {} connections", met.load(Ordering::SeqCst));
+    checker.await.expect("the health checks do not panic");
+    assert!(checks.load(Ordering::SeqCst) > 50, "too few connections came during the restarts");
+    assert_eq!(
+        failed_checks.load(Ordering::SeqCst),
+        0,
+        "failed health checks of {}",
+        checks.load(Ordering::SeqCst)
+    );
     assert_eq!(farms.iter().map(|f| f.most_runs()).max(), Some(1));
     for round in 0..5 {
         let runs = |f: &Arc<Farm>| f.runs.lock().unwrap().get(&format!("w{round}")).copied().unwrap_or(0);
-        assert_eq!(farms.iter().map(runs).sum::<u32>(), 1, "a write of round {round}");
+        assert_eq!(farms.iter().map(runs).sum::<u32>(), 1, "runs of the write of round {round}");
     }
-    let said = heard.lock().unwrap().clone();
-    assert!(!said.is_empty() && said.iter().all(|h| h.1.contains("open")), "{said:?}");
+    let reports = directory_reports.lock().unwrap().clone();
+    assert!(!reports.is_empty() && reports.iter().all(|report| report.1.contains("open")), "{reports:?}");
 }
 
-/// A connection that asks for a check and gets a good one, be it behind a last call.
+/// Whether a new connection gets a positive answer to a health check, even if an announcement of the drain comes first.
 async fn check(at: SocketAddr) -> bool {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let Ok(mut s) = tokio::net::TcpStream::connect(at).await else { return false };
-    let (mut said, mut all) = ([0; 64], Vec::new());
+    let Ok(mut stream) = tokio::net::TcpStream::connect(at).await else { return false };
+    let (mut buffer, mut received) = ([0; 64], Vec::new());
     // [0, 1, "health", [{}]]
-    let sent = s.write_all(b"\x94\x00\x01\xa6health\x91\x80").await.is_ok();
+    let sent = stream.write_all(b"\x94\x00\x01\xa6health\x91\x80").await.is_ok();
     // [1, 1, nil, [true, ...
-    let good = |all: &[u8]| all.windows(6).any(|w| w == b"\x94\x01\x01\xc0\x92\xc3");
-    while sent && !good(&all) {
-        match within("a check", s.read(&mut said)).await {
-            Ok(n @ 1..) => all.extend_from_slice(&said[..n]),
+    let is_positive = |received: &[u8]| received.windows(6).any(|w| w == b"\x94\x01\x01\xc0\x92\xc3");
+    while sent && !is_positive(&received) {
+        match within("the answer to a health check", stream.read(&mut buffer)).await {
+            Ok(n @ 1..) => received.extend_from_slice(&buffer[..n]),
             _ => return false,
         }
     }
     sent
 }
 
-/// The heir has its notice to leave between its word that it could take clients and the holder's that it knows, and the holder
-/// stands still meanwhile: the heir takes nobody any more, and who comes waits in the queue that both share for the holder.
+/// The successor gets a notice to leave after it has sent `Ready` and before the suspended incumbent has confirmed the takeover. The
+/// successor accepts no connections; new connections wait in the listener queue that both processes share until the incumbent resumes.
 #[tokio::test]
-async fn an_heir_that_leaves_before_its_turn_takes_nobody() {
-    let (_farm, agent) = farm().await;
+async fn a_successor_that_leaves_before_the_confirmation_accepts_no_connections() {
+    let (_farm, agent) = start_farm().await;
     let setup = Setup { settings: settings(2, 10_000, 20_000), agent: Some(agent), ..Setup::default() };
-    let holder = setup.start().await;
-    holder.ready().await;
+    let incumbent = setup.start().await;
+    incumbent.ready().await;
     let (agents, at) = bind().await;
-    let heir = holder.succeed(at).await;
-    // Its link to the agent is made once it has been welcomed.
+    let successor = incumbent.succeed(at).await;
+    // The successor connects to its agent after it has received the welcome.
     let mut link = ScriptedLink::accept(&agents).await;
-    holder.freeze().await;
+    incumbent.freeze().await;
     link.greet("").await;
-    assert_eq!(heir.control("GET", "ready").await, Some(503), "the holder has not said that it knows");
-    heir.signal("-TERM");
-    let mut caller = Caller::connect(holder.msgpack).await;
+    assert_eq!(
+        successor.control("GET", "ready").await,
+        Some(503),
+        "the incumbent has not confirmed the takeover"
+    );
+    successor.signal("-TERM");
+    let mut caller = Caller::connect(incumbent.msgpack).await;
     caller.ask(1, "book-job", fields("w1", &[]), "5 w").await;
     let rest = tokio::spawn(link.rest());
-    let (good, log) = heir.ended().await;
+    let (good, log) = successor.ended().await;
     assert!(good && log.contains("launched=0"), "{log}");
-    assert_eq!(rest.await.expect("read"), Vec::<String>::new());
-    holder.thaw();
+    assert_eq!(rest.await.expect("the scripted link does not panic"), Vec::<String>::new());
+    incumbent.thaw();
     assert_eq!(caller.answer().await.map(|a| (a.id, a.word)), Some((1, "ok".to_owned())));
-    holder.leave().await;
+    incumbent.leave().await;
 }
 
-/// Writes that a key links: a repeat at the successor fails while the first runs in the old process, and gets its result
-/// once it is there. Out of service goes over too.
+/// A repeat of a keyed write at the successor fails while the first attempt runs in the incumbent, and gets its result once that has
+/// reached the successor. The order to be out of service is handed over, too.
 #[tokio::test]
-async fn keyed_writes_and_the_state_cross() {
-    let ((old, agent), (new, next)) = (farm().await, farm().await);
-    let setup = Setup { settings: keyed(), stop_ms: 4_000, ..Setup::default() };
+async fn results_of_keyed_writes_and_the_service_state_reach_the_successor() {
+    let ((old, agent), (new, next)) = (start_farm().await, start_farm().await);
+    let setup = Setup { settings: keyed_settings(), stop_ms: 4_000, ..Setup::default() };
     let node = Setup { agent: Some(agent), ..setup }.start().await;
     let at = node.msgpack;
     node.ready().await;
     let key = |name: &str, key: &str| fields(name, &[("replay", key)]);
     let mut c = Caller::connect(at).await;
     c.ask(1, "book-job", key("a1", "a"), "1 a").await;
-    assert_eq!(c.answer().await.expect("an answer").word, "ok");
+    assert_eq!(c.answer().await.expect("the request is answered").word, "ok");
     c.ask(2, "book-job", key("b1", "b"), "gate b").await;
     sleep(Duration::from_millis(50)).await;
     assert_eq!(node.control("POST", "out-of-service").await, Some(200));
-    let (heir, leaving) = replace(node, next).await;
-    // From then on the old one takes no connections: until it does, either may.
+    let (successor, leaving) = replace(node, next).await;
+    // Until the incumbent announces its drain either process may accept a connection; from then on only the successor does.
     c.last_call().await;
     let mut d = Caller::connect(at).await;
-    assert!(!d.health(1).await, "the node is out of service still");
+    assert!(!d.health(1).await, "the node must stay out of service");
     let mut words = Vec::new();
     for (id, name, k, body) in [(2, "a2", "a", "1 a"), (3, "b2", "b", "gate b"), (4, "c1", "c", "1 c")] {
         d.ask(id, "book-job", key(name, k), body).await;
-        let a = d.answer().await.expect("an answer");
+        let a = d.answer().await.expect("the request is answered");
         words.push((a.word, a.body));
     }
     let ok = |body: &'static str| ("ok".to_owned(), body.into());
     assert_eq!(words, [ok("done a"), ("Error".to_owned(), "".into()), ok("done c")]);
     old.open_gate();
-    assert_eq!(c.answer().await.expect("an answer").word, "ok");
-    // The answer may be here before the news of the result has crossed; until then a repeat fails, and never runs.
-    within("the result to cross", async {
+    assert_eq!(c.answer().await.expect("the request is answered").word, "ok");
+    // The answer may arrive before the result has reached the successor. Until then a repeat fails, and it never runs.
+    within("the result to reach the successor", async {
         for id in 5.. {
             d.ask(id, "book-job", key(&format!("b{id}"), "b"), "gate b").await;
-            let a = d.answer().await.expect("an answer");
+            let a = d.answer().await.expect("the request is answered");
             if a.word == "ok" {
                 return assert_eq!(a.body, "done b");
             }
-            assert_eq!(a.word, "Error", "a repeat whose first try ran is never refused");
+            assert_eq!(a.word, "Error", "a repeat of a write that has run must not be refused");
             sleep(Duration::from_millis(5)).await;
         }
     })
     .await;
-    assert!(leaving.await.expect("left").1);
+    assert!(leaving.await.expect("the incumbent leaves").1);
     let runs = |f: &Farm| f.runs.lock().unwrap().keys().cloned().collect::<Vec<_>>();
     assert_eq!((runs(&old), runs(&new)), (vec!["a".to_owned(), "b".into()], vec!["c".to_owned()]));
-    drop(heir);
+    drop(successor);
 }
 
-/// What stands at the meeting place when a node starts. Whatever it is, the node serves and leaves.
+/// A node starts, serves and leaves whatever exists at its socket path: nothing, a stale socket, a foreign file, a folder, or a peer
+/// that does not follow the protocol.
 #[tokio::test]
-async fn whatever_is_at_the_place_a_node_starts() {
-    fn place(dir: &Path, at: SocketAddr) -> std::path::PathBuf {
+async fn a_node_starts_whatever_exists_at_its_socket_path() {
+    fn socket_path(dir: &Path, at: SocketAddr) -> std::path::PathBuf {
         dir.join(format!("holdlift-n0-{}.sock", at.port()))
     }
-    fn answering(dir: &Path, at: SocketAddr, said: &'static [u8]) {
+    /// Answers one peer with these bytes; with no bytes, it hangs for longer than a node waits.
+    fn answer_one_peer(dir: &Path, at: SocketAddr, bytes: &'static [u8]) {
         use std::io::{Read, Write};
-        let listener = std::os::unix::net::UnixListener::bind(place(dir, at)).expect("a socket");
+        let listener =
+            std::os::unix::net::UnixListener::bind(socket_path(dir, at)).expect("the socket can be bound");
         std::thread::spawn(move || {
-            // One peer, then it is gone.
-            let Ok((mut s, _)) = listener.accept() else { return };
-            let _ = s.read(&mut [0; 256]);
-            let _ = s.write_all(said);
-            if said.is_empty() {
-                // One that hangs, for longer than a node waits for it.
+            let Ok((mut stream, _)) = listener.accept() else { return };
+            let _ = stream.read(&mut [0; 256]);
+            let _ = stream.write_all(bytes);
+            if bytes.is_empty() {
                 std::thread::sleep(Duration::from_secs(3));
             }
         });
@@ -225,21 +241,34 @@
     let table: [(&str, Prepare, &str); 7] = [
         ("nothing", |_, _| {}, ""),
         (
-            "a socket that nobody listens on",
-            |dir, at| drop(std::os::unix::net::UnixListener::bind(place(dir, at)).expect("a socket")),
+            "a socket without a listener",
+            |dir, at| {
+                drop(
+                    std::os::unix::net::UnixListener::bind(socket_path(dir, at))
+                        .expect("the socket can be bound"),
+                )
+            },
             "",
         ),
         (
             "a foreign file",
-            |dir, at| std::fs::write(place(dir, at), "pid 1").expect("a file"),
+            |dir, at| std::fs::write(socket_path(dir, at), "pid 1").expect("the file can be written"),
             "no socket is in the way",
         ),
-        ("a folder", |dir, at| std::fs::create_dir(place(dir, at)).expect("a folder"), "is in the way"),
-        ("rubbish", |dir, at| answering(dir, at, b"HTTP/1.1 400 Bad Request\r\n\r\n"), "listening by itself"),
         (
-            "another version",
+            "a folder",
+            |dir, at| std::fs::create_dir(socket_path(dir, at)).expect("the folder can be created"),
+            "is in the way",
+        ),
+        (
+            "a peer of another protocol",
+            |dir, at| answer_one_peer(dir, at, b"HTTP/1.1 400 Bad Request\r\n\r\n"),
+            "listening by itself",
+        ),
+        (
+            "a peer of another version",
             |dir, at| {
-                answering(
+                answer_one_peer(
                     dir,
                     at,
                     b"\0\0\0\x35\0\0\0\0{\"welcome\":{\"version\":1,\"aside\":false,\"listeners\":[]}}",
@@ -247,34 +276,39 @@
             },
             "listening by itself",
         ),
-        ("one that hangs", |dir, at| answering(dir, at, b""), "did not answer in time; listening by itself"),
+        (
+            "a peer that hangs",
+            |dir, at| answer_one_peer(dir, at, b""),
+            "did not answer in time; listening by itself",
+        ),
     ];
-    for (what, prepare, logged) in table {
-        let (_farm, agent) = farm().await;
+    for (what, prepare, expected_log) in table {
+        let (_farm, agent) = start_farm().await;
         let setup = Setup { settings: settings(2, 3_000, 6_000), agent: Some(agent), ..Setup::default() };
         let node = Setup { prepare: Some(prepare), ..setup }.start().await;
         node.ready().await;
         let mut c = Caller::connect(node.msgpack).await;
         c.ask(1, "book-job", fields("w", &[]), "1 w").await;
-        assert_eq!(c.answer().await.expect("an answer").word, "ok", "{what}");
+        assert_eq!(c.answer().await.expect("the request is answered").word, "ok", "{what}");
         let (_, good, log) = node.leave().await;
-        assert!(good && log.contains("drain: ") && log.contains(logged), "{what}: {log}");
+        assert!(good && log.contains("drain: ") && log.contains(expected_log), "{what}: {log}");
     }
 }
 
-/// A successor that dies on the way changes nothing: the old one serves on, its notice to leave is a plain one, and the next
-/// successor is met. A second successor meanwhile listens beside the first. One whose holder died takes clients by itself.
+/// If a successor dies during the handover, the incumbent serves on and accepts the next successor. A second successor that starts
+/// during a handover opens its own listeners. A successor whose incumbent dies takes clients by itself.
 #[tokio::test]
-async fn successors_and_holders_that_die() {
-    let ((_old, agent), (sleepy, next), (_third, third)) = (farm().await, farm().await, farm().await);
-    sleepy.asleep.store(true, Ordering::SeqCst);
+async fn a_node_serves_on_when_its_successor_or_incumbent_dies() {
+    let ((_old, agent), (unresponsive, next), (_third, third)) =
+        (start_farm().await, start_farm().await, start_farm().await);
+    unresponsive.asleep.store(true, Ordering::SeqCst);
     let setup = Setup { settings: settings(2, 3_000, 6_000), agent: Some(agent), ..Setup::default() };
     let node = setup.start().await;
     node.ready().await;
-    // Its agent has not greeted it, so it does not take clients.
-    let heir = node.succeed(next).await;
-    within("the heir", async {
-        while heir.control("GET", "ready").await != Some(503) {
+    // The successor's agent does not greet it, so it does not take clients.
+    let successor = node.succeed(next).await;
+    within("the successor to start", async {
+        while successor.control("GET", "ready").await != Some(503) {
             sleep(Duration::from_millis(5)).await;
         }
     })
@@ -282,7 +316,7 @@
     let second = node.succeed(third).await;
     second.ready().await;
     for _ in 0..50 {
-        assert!(check(node.msgpack).await, "two listeners serve");
+        assert!(check(node.msgpack).await, "a connection to either of two listeners must be served");
     }
     let (_, good, log) = second.leave().await;
     assert!(
@@ -290,26 +324,26 @@
             && log.contains("drain: "),
         "{log}"
     );
-    drop(heir);
-    within("the death of the heir", async {
+    drop(successor);
+    within("service after the successor's death", async {
         while !check(node.msgpack).await {
             sleep(Duration::from_millis(5)).await;
         }
     })
     .await;
-    sleepy.asleep.store(false, Ordering::SeqCst);
-    let heir = node.succeed(next).await;
-    heir.ready().await;
-    // The holder is killed, with no notice at all.
+    unresponsive.asleep.store(false, Ordering::SeqCst);
+    let successor = node.succeed(next).await;
+    successor.ready().await;
+    // The incumbent is killed without notice.
     let at = node.msgpack;
     drop(node);
     for _ in 0..50 {
-        assert!(check(at).await, "the heir serves alone");
+        assert!(check(at).await, "the successor must serve alone");
     }
-    let (_fourth, fourth) = farm().await;
-    let last = heir.succeed(fourth).await;
+    let (_fourth, fourth) = start_farm().await;
+    let last = successor.succeed(fourth).await;
     last.ready().await;
-    let (_, good, log) = heir.leave().await;
+    let (_, good, log) = successor.leave().await;
     assert!(good && log.contains("replaced: "), "{log}");
     let (_, good, log) = last.leave().await;
     assert!(good && log.contains("drain: "), "{log}");
