--- a/src/runtime/hot_restart.rs
+++ b/src/runtime/hot_restart.rs
@@ -55,7 +55,7 @@
 
 /// An event of the link to the other process, for the core's task. The link number tells the current link from earlier
 /// ones.
-pub(super) enum PeerProcess {
+pub(super) enum PeerLinkEvent {
     /// A successor has connected. The accepted handover is sent to it through `welcome`; dropping `welcome` rejects the
     /// successor.
     Hello { link_id: u64, name: String, listen: Option<SocketAddr>, welcome: oneshot::Sender<Welcome> },
@@ -75,7 +75,7 @@
 }
 
 /// The link to the other process, as the core's task keeps it.
-pub(super) struct Link {
+pub(super) struct PeerLink {
     id: u64,
     outgoing: mpsc::Sender<MessageBatch>,
     /// This process is the successor, and the other one the incumbent.
@@ -235,7 +235,7 @@
         return;
     };
     let (welcome, decision) = oneshot::channel();
-    if events.send(Event::Handover(PeerProcess::Hello { link_id, name, listen, welcome })).await.is_err() {
+    if events.send(Event::Handover(PeerLinkEvent::Hello { link_id, name, listen, welcome })).await.is_err() {
         return;
     }
     let Ok(welcome) = decision.await else {
@@ -266,7 +266,7 @@
         exchange_messages(link_id, link, welcome.outgoing, events).await;
     } else {
         let _ = events
-            .send(Event::Handover(PeerProcess::LinkEnded(link_id, "the welcome could not be sent")))
+            .send(Event::Handover(PeerLinkEvent::LinkEnded(link_id, "the welcome could not be sent")))
             .await;
     }
 }
@@ -296,7 +296,7 @@
         loop {
             match stream.next().await {
                 Some(Ok(message)) => {
-                    if events.send(Event::Handover(PeerProcess::Message(link_id, message))).await.is_err() {
+                    if events.send(Event::Handover(PeerLinkEvent::Message(link_id, message))).await.is_err() {
                         return "dropped";
                     }
                 }
@@ -309,7 +309,7 @@
         reason = write => reason,
         reason = read => reason,
     };
-    let _ = events.send(Event::Handover(PeerProcess::LinkEnded(link_id, reason))).await;
+    let _ = events.send(Event::Handover(PeerLinkEvent::LinkEnded(link_id, reason))).await;
 }
 
 /// Changes in the form in which they are sent. Each process has its own monotonic clock, so times are sent relative to the
@@ -339,13 +339,14 @@
         self.node.set_machine_share(now, MACHINE_SHARE_OF_EACH, &mut self.outputs);
         let known_writes = to_wire(now, self.node.idempotency.share(now, Side::Successor));
         let _ = outgoing.try_send(known_writes);
-        self.peer_process = Some(Link { id: 0, outgoing, is_successor: true, is_ready: false });
+        self.peer_process = Some(PeerLink { id: 0, outgoing, is_successor: true, is_ready: false });
         let events = self.events.clone();
         tokio::task::spawn_local(exchange_messages(0, inherited.link, outgoing_receiver, events));
     }
 
-    /// Starts to take clients, now that the agent is connected. A successor first sends `Ready` to its incumbent and reports
-    /// to no one else before the confirmation, as the incumbent's notice to leave may follow that report at once.
+    /// Starts to take clients, now that the agent is connected. A successor first sends `Ready` to its incumbent and does
+    /// not report itself ready elsewhere before the confirmation, as the incumbent's notice to leave may follow that report
+    /// at once.
     pub(super) fn start_taking_clients(&mut self) -> Result<(), Box<dyn std::error::Error>> {
         match &mut self.peer_process {
             Some(link) if link.is_successor && !link.is_ready => {
@@ -354,7 +355,7 @@
                 let events = self.events.clone();
                 tokio::task::spawn_local(async move {
                     sleep(PEER_TIMEOUT).await;
-                    let _ = events.send(Event::Handover(PeerProcess::ConfirmationTimeout)).await;
+                    let _ = events.send(Event::Handover(PeerLinkEvent::ConfirmationTimeout)).await;
                 });
             }
             Some(link) if link.is_successor => {}
@@ -364,14 +365,14 @@
     }
 
     /// Handles an event of the link to the other process. Events of earlier links are ignored.
-    pub(super) fn handle_peer_process(
+    pub(super) fn handle_peer_link_event(
         &mut self,
         now: Micros,
-        event: PeerProcess,
+        event: PeerLinkEvent,
     ) -> Result<(), Box<dyn std::error::Error>> {
-        let is_current = |link: &Option<Link>, id| link.as_ref().is_some_and(|l| l.id == id);
+        let is_current = |link: &Option<PeerLink>, id| link.as_ref().is_some_and(|l| l.id == id);
         match event {
-            PeerProcess::Hello { link_id, name, listen, welcome } => {
+            PeerLinkEvent::Hello { link_id, name, listen, welcome } => {
                 let is_same_node = name == self.config.name && listen == self.config.listen;
                 if self.peer_process.is_some() || self.stop_at.is_some() || !is_same_node {
                     warn!("a successor was rejected: name {name}, same node {is_same_node}");
@@ -382,12 +383,12 @@
                 let known_writes = to_wire(now, self.node.idempotency.share(now, Side::Incumbent));
                 let _ = outgoing.try_send(known_writes);
                 self.peer_process =
-                    Some(Link { id: link_id, outgoing, is_successor: false, is_ready: false });
+                    Some(PeerLink { id: link_id, outgoing, is_successor: false, is_ready: false });
                 let listeners = self.listeners.iter().map(|o| (o.at, o.listener.clone())).collect();
                 let is_out_of_service = self.service.with(|s| s.is_out_by_order());
                 let _ = welcome.send(Welcome { is_out_of_service, listeners, outgoing: outgoing_receiver });
             }
-            PeerProcess::Message(id, message) if is_current(&self.peer_process, id) => match message {
+            PeerLinkEvent::Message(id, message) if is_current(&self.peer_process, id) => match message {
                 HandoverMessage::Write(change) => {
                     let change = change.rebased(WIRE_NOW, now);
                     self.node.handle_input(now, Input::ChangeReceived(change), &mut self.outputs);
@@ -407,7 +408,7 @@
                 }
                 _ => {}
             },
-            PeerProcess::LinkEnded(id, reason) if is_current(&self.peer_process, id) => {
+            PeerLinkEvent::LinkEnded(id, reason) if is_current(&self.peer_process, id) => {
                 let was_successor = self.peer_process.take().is_some_and(|l| l.is_successor);
                 self.node.handle_input(now, Input::PeerProcessEnded, &mut self.outputs);
                 self.node.set_machine_share(now, 1.0, &mut self.outputs);
@@ -422,14 +423,16 @@
                     self.await_successors();
                 }
             }
-            PeerProcess::ConfirmationTimeout
+            PeerLinkEvent::ConfirmationTimeout
                 if self.peer_process.as_ref().is_some_and(|l| l.is_successor)
                     && !self.service.with(|s| s.is_ready()) =>
             {
                 warn!("the process before this one does not answer; taking clients");
                 self.up()?;
             }
-            PeerProcess::Message(..) | PeerProcess::LinkEnded(..) | PeerProcess::ConfirmationTimeout => {}
+            PeerLinkEvent::Message(..)
+            | PeerLinkEvent::LinkEnded(..)
+            | PeerLinkEvent::ConfirmationTimeout => {}
         }
         Ok(())
     }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -74,7 +74,7 @@
     /// A version of the configuration has come.
     Version,
     RunEnded(String, Outcome, Bytes),
-    Handover(hot_restart::PeerProcess),
+    Handover(hot_restart::PeerLinkEvent),
     Datagrams(Vec<(SocketAddr, Bytes)>),
     FilesRead(Box<Result<reload::Told, reload::TurnedDown>>),
     OpenCoap,
@@ -135,7 +135,7 @@
     /// Listeners of a process that this one takes over from.
     inherited_listeners: Vec<(SocketAddr, TcpListener)>,
     /// The other process of this node, while one takes over from the other.
-    peer_process: Option<hot_restart::Link>,
+    peer_process: Option<hot_restart::PeerLink>,
     /// When this process was replaced.
     replaced_at: Option<Micros>,
     /// All is closed, and pending bytes are being sent.
@@ -497,7 +497,7 @@
                     self.said(now, notice)?;
                 }
             }
-            Event::Handover(event) => self.handle_peer_process(now, event)?,
+            Event::Handover(event) => self.handle_peer_link_event(now, event)?,
             Event::Datagrams(batch) => self.datagrams(now, batch),
             Event::FilesRead(told) => self.told(*told),
             Event::OpenCoap if self.stop_at.is_none() => self.open_coap(),
