--- a/src/end.rs
+++ b/src/end.rs
@@ -35,19 +35,19 @@
     #[error("peer does not read")]
     Stalled,
     /// This side gave up waiting for an answer.
-    #[error("given up")]
+    #[error("gave up waiting for an answer")]
     Abandoned,
     /// This side closed it as idle.
     #[error("idle")]
     Idle,
     /// This side closed it because no request ever came on it.
-    #[error("nothing asked")]
+    #[error("no request received")]
     Silent,
     /// This side closed it to make room for other connections, or rejected it for lack of room.
-    #[error("crowded out")]
+    #[error("no room beside other connections")]
     Crowded,
     /// This side rejected it because its source address has reached its limit of connections.
-    #[error("source at its limit")]
+    #[error("source address at its connection limit")]
     Excess,
     /// This side closed it after too many invalid messages in a row.
     #[error("unruly")]
@@ -56,7 +56,7 @@
     #[error("finished")]
     Finished,
     /// This side did not send the call for which it was made, because its share of the fleet-wide budget had expired.
-    #[error("share ended before anything was sent")]
+    #[error("budget share expired before anything was sent")]
     Lapsed,
 }
 
