--- a/src/node/intake.rs
+++ b/src/node/intake.rs
@@ -244,7 +244,7 @@
     }
 }
 
-/// How long the caller waits: what it says, at most its class's deadline; never before `now`.
+/// The time until which the caller waits: after its stated limit, at most after its class's deadline, and not before `now`.
 fn due_time(now: Micros, incoming: &IncomingRequest, class: &ClassSettings) -> Micros {
     let time_limit = incoming.time_limit.unwrap_or(class.deadline).min(class.deadline);
     (incoming.arrived.at + time_limit).max(now)
--- a/src/node/launch.rs
+++ b/src/node/launch.rs
@@ -133,7 +133,7 @@
         } else {
             self.idempotency.ended(name, result);
         }
-        // The core knows when it sent the launch, and the worker how long the run took. The run cannot have begun before
+        // The core records when it sent the launch, and the worker how long the run took. The run cannot have begun before
         // the launch, so this time is never later than the real end.
         let made_at = end.duration.map_or(now, |duration| (since + duration).min(now));
         let shared = result.map(|result| CachedRead { result: result.clone(), made_at });
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! The core of a node: requests, attempts and outcomes.
 //!
 //! A state machine without I/O: it receives [`Input`]s and the time, and returns [`Output`]s that the runtime carries out.
-//! It knows no wire format and no socket. Every decision about load belongs to the decision module ([`Policy`]); the
+//! It handles no wire formats and no sockets. Every decision about load belongs to the decision module ([`Policy`]); the
 //! core accounts for requests, runs and calls, and carries out the module's actions.
 //!
 //! Invariants: a request gets one answer, at the latest at its backstop; a refused request never ran; a write that the
