--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -74,19 +74,19 @@
 }
 
 /// A decision module in simulated time.
-pub struct Server {
+pub struct PolicyUnderTest {
     pub policy: Policy,
     pub now: Micros,
 }
 
-impl Server {
-    pub fn new(settings: Settings) -> Server {
-        let mut server = Server {
+impl PolicyUnderTest {
+    pub fn new(settings: Settings) -> PolicyUnderTest {
+        let mut policy_under_test = PolicyUnderTest {
             policy: Policy::new(settings, 7).expect("the settings are valid"),
             now: Micros::from_millis(1_000_000),
         };
-        server.at(0, &[]);
-        server
+        policy_under_test.at(0, &[]);
+        policy_under_test
     }
 
     /// Advances time by `ms`, then passes these events to the module in one step.
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -43,7 +43,7 @@
 
 fn play(seed: u64, settings: Settings) -> (usize, usize, usize) {
     let mut lots = Lots(seed);
-    let mut s = Server::new(settings.clone());
+    let mut s = PolicyUnderTest::new(settings.clone());
     let mut books: BTreeMap<u32, Book> = BTreeMap::new();
     // Keyed requests by subject: when the try that ran arrived, and the entry (try, end).
     let mut ran_at: BTreeMap<u32, (Micros, u32)> = BTreeMap::new();
@@ -312,7 +312,7 @@
 #[test]
 fn equal_events_give_equal_actions() {
     let make = || {
-        let mut s = Server::new(settings());
+        let mut s = PolicyUnderTest::new(settings());
         let mut lots = Lots(3);
         let mut all = Vec::new();
         for i in 0..500 {
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -143,12 +143,12 @@
 /// A request that waits in the hold is judged by the settings it came with, and runs once there is a core.
 #[test]
 fn what_waits_keeps_its_time() {
-    use common::{Server, answers, ended, request, runs};
+    use common::{PolicyUnderTest, answers, ended, request, runs};
     use holdlift::settings::slots::put_over;
     use holdlift::{Event, Micros, Outcome};
     let mut was = common::settings();
     was.classes[0].late_weight = 0.2;
-    let mut server = Server::new(was.clone());
+    let mut server = PolicyUnderTest::new(was.clone());
     let first = runs(&server.arrive(0, &[request(1, 0), request(2, 0), request(3, 0)]));
     assert_eq!(first, [3, 2], "two cores");
     let mut told = was.clone();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn bad_events_are_named_and_nothing_is_done() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let mut out = Vec::new();
     let events = [Event::Arrived(request(1, 0)), Event::Arrived(request(2, 9))];
     assert_eq!(s.policy.step(s.now, &events, &mut out), Err(EventError::UnknownClass(RequestId(2))));
@@ -36,7 +36,7 @@
 
 #[test]
 fn unknown_and_finished_requests_are_ignored() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let out = s.at(
         1,
         &[
@@ -51,26 +51,26 @@
 
 #[test]
 fn highest_rank_starts_first() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let out = s.arrive(1, &[request(1, 0), request(2, 1), request(3, 0), request(4, 2)]);
     assert_eq!(&runs(&out)[..2], &[4, 2], "by rank, not by order of arrival");
 }
 
 #[test]
 fn what_is_beyond_a_members_share_comes_last() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let over = |id, class| Request { is_over_quota: true, ..request(id, class) };
     let out = s.arrive(1, &[over(1, 2), request(2, 0), over(3, 0), request(4, 1)]);
     assert_eq!(&runs(&out)[..2], &[4, 2], "however high its rank");
     assert_eq!(answers(&out), [0; 0], "and is not refused for that");
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let out = s.arrive(1, &[over(1, 0), over(2, 2)]);
     assert_eq!(runs(&out), [2, 1], "where there is room it runs, by rank among itself");
 }
 
 #[test]
 fn every_read_request_is_answered_by_its_due_time() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let all: Vec<Request> =
         (0..40).map(|i| Request { due: Some(s.now + ms(800)), ..request(i, 2) }).collect();
     let mut out = s.arrive(1, &all);
@@ -85,12 +85,12 @@
 
 #[test]
 fn due_time_derives_from_arrival_where_none_is_passed() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     // Waited 2.5 s unread of its 3 s; its aim has passed.
     let out = s.arrive(1, &[Request { unread_time: ms(2_500), ..request(1, 0) }]);
     assert_eq!(answers(&out), [-1]);
     let late = ClassSettings { late_weight: 0.2, ..class("read", Effect::Retryable, 1_000, 3_000, 1.0) };
-    let mut s = Server::new(Settings { classes: vec![late].into(), ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { classes: vec![late].into(), ..settings() });
     let out = s.arrive(1, &[Request { unread_time: ms(2_500), rank: 0.5, ..request(1, 0) }]);
     assert_eq!(runs(&out), [1]);
     let got = answers(&s.idle(510, 1.0));
@@ -99,7 +99,7 @@
 
 #[test]
 fn keyed_work_runs_once() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let out = s.arrive(1, &[request(1, 1)]);
     assert_eq!(runs(&out), [1]);
     assert!(out.iter().any(|a| matches!(a, Action::RetainKey(RequestId(1), span) if *span >= ms(5_000))));
@@ -116,7 +116,7 @@
 
 #[test]
 fn repeat_of_keyed_work_that_failed_is_failed() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     s.arrive(1, &[request(1, 1)]);
     s.at(50, &[ended(1, Outcome::Bad)]);
     let out = s.arrive(10, &[Request { repeats: Some(RequestId(1)), ..request(2, 1) }]);
@@ -125,7 +125,7 @@
 
 #[test]
 fn of_two_held_tries_one_runs() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     s.arrive(1, &(10..20).map(|i| Request { rank: 0.99, ..request(i, 2) }).collect::<Vec<_>>());
     // Both in one batch, each pointing at the other.
     let a = Request { repeats: Some(RequestId(2)), ..request(1, 1) };
@@ -139,7 +139,7 @@
 
 #[test]
 fn gone_first_try_leaves_the_repeat_free_to_run() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     s.arrive(1, &(10..20).map(|i| Request { rank: 0.99, ..request(i, 2) }).collect::<Vec<_>>());
     s.arrive(1, &[request(1, 1)]);
     s.at(5, &[Event::Cancelled(RequestId(1))]);
@@ -150,7 +150,7 @@
 
 #[test]
 fn nothing_later_than_the_grace_runs_after_the_notice() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let stop = s.now + ms(5_000);
     s.at(0, &[Event::Drain(stop)]);
     assert_eq!(runs(&s.arrive(990, &[request(1, 0)])), [1]);
@@ -162,7 +162,7 @@
 
 #[test]
 fn all_is_answered_before_the_stop() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let mut out = s.arrive(1, &(0..30).map(|i| request(i, 2)).collect::<Vec<_>>());
     let stop = s.now + ms(300);
     out.extend(s.at(0, &[Event::Drain(stop)]));
@@ -172,7 +172,7 @@
 
 #[test]
 fn memory_is_kept_by_turning_away_the_lowest_rank() {
-    let mut s = Server::new(Settings { memory_kb: 2_000.0, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { memory_kb: 2_000.0, ..settings() });
     let all: Vec<Request> =
         (0..110).map(|i| Request { rank: f64::from(i) / 110.0, ..request(i, 0) }).collect();
     let out = s.arrive(1, &all);
@@ -185,21 +185,21 @@
 
 #[test]
 fn keyed_request_without_room_for_its_entry_is_turned_away() {
-    let mut s = Server::new(Settings { memory_kb: 100.0, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { memory_kb: 100.0, ..settings() });
     assert_eq!(answers(&s.arrive(1, &[request(1, 1)])), [-1]);
 }
 
 #[test]
 fn a_cold_server_runs_within_its_lower_ceiling() {
     // At a quarter speed 1 + 2 x 0.25 = 1.5 per core are survived with two cores: three.
-    let mut s = Server::new(Settings { is_cold: true, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { is_cold: true, ..settings() });
     let out = s.arrive(1, &(0..20).map(|i| request(i, 2)).collect::<Vec<_>>());
     assert!((1..3).contains(&runs(&out).len()), "{:?}", runs(&out));
 }
 
 #[test]
 fn failed_work_counts_until_it_ends() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let first: Vec<Request> =
         (0..2).map(|i| Request { due: Some(s.now + ms(400)), ..request(i, 2) }).collect();
     let started = runs(&s.arrive(1, &first)).len();
@@ -227,7 +227,7 @@
     for (outcome, again) in
         [(Outcome::Full, true), (Outcome::Unreachable, true), (Outcome::Bad, false), (Outcome::Late, false)]
     {
-        let mut s = Server::new(calling());
+        let mut s = PolicyUnderTest::new(calling());
         s.arrive(1, &[request(1, 1)]);
         assert_eq!(calls(&s.at(5, &[Event::CallRequested(RequestId(1))])), 1);
         let mut out = s.at(5, &[Event::CallEnded(RequestId(1), outcome, Micros(9))]);
@@ -245,7 +245,7 @@
     for (backlog, retry, held) in
         [(100, false, true), (450, false, false), (100, true, true), (450, true, true), (750, true, false)]
     {
-        let mut s = Server::new(settings());
+        let mut s = PolicyUnderTest::new(settings());
         for id in 0..40 {
             s.arrive(5, &[request(id, 0)]);
             s.at(5, &[Event::RunEnded(RequestId(id), Outcome::Good, ms(300))]);
@@ -260,7 +260,7 @@
 
 #[test]
 fn a_leaving_server_says_for_how_long() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let stop = s.now + ms(2_000);
     s.at(0, &[Event::Drain(stop)]);
     for (after, id, wanted) in [(1_200, 1, 800), (600, 2, 200)] {
@@ -276,8 +276,8 @@
 /// then; one that may not is waited for to the end, as is any while slow answers do come.
 #[test]
 fn unanswered_calls_are_made_again() {
-    let mut s = Server::new(Settings { downstream: Downstream::Tier, ..calling() });
-    let wait = |s: &mut Server, id: u32, class: usize| {
+    let mut s = PolicyUnderTest::new(Settings { downstream: Downstream::Tier, ..calling() });
+    let wait = |s: &mut PolicyUnderTest, id: u32, class: usize| {
         s.arrive(1, &[request(id, class)]);
         let out = s.at(0, &[Event::CallRequested(RequestId(id))]);
         let until = out.iter().find_map(|a| if let Action::Call(_, u) = a { Some(*u) } else { None });
@@ -295,7 +295,7 @@
 
 #[test]
 fn calls_stay_within_the_told_share() {
-    let mut s = Server::new(calling());
+    let mut s = PolicyUnderTest::new(calling());
     let ids = [1, 2, 3];
     s.arrive(1, &ids.map(|i| request(i, 2)));
     let out = s.at(5, &ids.map(|i| Event::CallRequested(RequestId(i))));
@@ -307,7 +307,7 @@
 #[test]
 fn a_share_under_one_call_is_kept_as_a_mean() {
     // serra-alta-farm-later: hundreds of servers whose part of the dependency is under half a call each.
-    let mut s = Server::new(Settings { dependency_share: 0.4, ..calling() });
+    let mut s = PolicyUnderTest::new(Settings { dependency_share: 0.4, ..calling() });
     let mut placed = 0;
     for next in 0..400 {
         s.arrive(1, &[Request { due: Some(s.now + ms(2_000)), ..request(next, 2) }]);
@@ -322,7 +322,7 @@
 #[test]
 fn unread_time_asks_callers_for_less() {
     // Incident i49b292: the hold was short while requests waited unread.
-    let mut s = Server::new(Settings { load_signal: LoadSignal::MinimumRank, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { load_signal: LoadSignal::MinimumRank, ..settings() });
     let mut said = 0.0;
     for i in 0..150 {
         let r = Request { unread_time: ms(900), ..request(i, 1) };
@@ -340,8 +340,12 @@
 #[test]
 fn the_cap_does_not_bind_while_cores_are_free() {
     // waw-transfers big-1: N held requests back at 0.85 busy, most of it reading.
-    let mut s =
-        Server::new(Settings { is_cold: true, cold_speed: 0.01, max_runs_per_core: 200.0, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings {
+        is_cold: true,
+        cold_speed: 0.01,
+        max_runs_per_core: 200.0,
+        ..settings()
+    });
     s.idle(30, 0.85);
     for i in 0..8 {
         assert_eq!(runs(&s.arrive(1, &[request(i, 2)])), [i]);
@@ -356,7 +360,7 @@
 fn a_storm_of_reads_leaves_fewer_runs() {
     // Incident i2802c7: reads and a full run bound thrashed the cores together.
     let started = |on_cores: f64| {
-        let mut s = Server::new(Settings { cores: 6, max_runs_per_core: 8.0, ..settings() });
+        let mut s = PolicyUnderTest::new(Settings { cores: 6, max_runs_per_core: 8.0, ..settings() });
         let g = Gauges { busy: Some(0.9), on_cores: Some(on_cores), ..Gauges::default() };
         s.at(15, &[Event::Timer(TimerToken(0), g)]);
         runs(&s.arrive(1, &(0..20).map(|i| request(i, 2)).collect::<Vec<_>>())).len()
@@ -367,7 +371,7 @@
 #[test]
 fn better_work_overtakes_parked_work() {
     // Incident ia75f96: parked reads closed the starts of every class that calls.
-    let mut s = Server::new(Settings { cores: 6, dependency_share: 4.0, ..calling() });
+    let mut s = PolicyUnderTest::new(Settings { cores: 6, dependency_share: 4.0, ..calling() });
     let low = [1, 2, 3].map(|i| request(i, 0));
     s.arrive(1, &low);
     s.at(5, &[1, 2, 3].map(|i| Event::CallRequested(RequestId(i))));
@@ -379,7 +383,7 @@
 fn fewer_refusals_may_be_tried_elsewhere_the_more_is_refused() {
     // waw-transfers-later big-1: all that slow machines turned away was lost though others had room; with every
     // refusal free to move on, the whole fleet drowned in reading.
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let mut may_move = Vec::new();
     for round in 0..12 {
         let ids = round * 20..round * 20 + 20;
@@ -401,7 +405,7 @@
 fn idle_connections_are_closed_where_many_are_open() {
     // serra-alta-farm-later: half of the attempts found no room in tables full of idle connections.
     let closes = |connections: f64| {
-        let mut s = Server::new(settings());
+        let mut s = PolicyUnderTest::new(settings());
         let g = Gauges { busy: Some(0.5), connections: Some(connections), ..Gauges::default() };
         let out = s.at(300, &[Event::Timer(TimerToken(0), g)]);
         out.iter().any(|a| matches!(a, Action::CloseIdleConnections(t) if *t >= ms(10) && *t <= ms(30_000)))
@@ -412,7 +416,7 @@
 #[test]
 fn low_work_is_paused_for_better_work() {
     // waw-transfers-later: on two cores urgent requests waited out long runs of low rank.
-    let mut s = Server::new(Settings { stop_mode: StopMode::Freeze, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { stop_mode: StopMode::Freeze, ..settings() });
     assert_eq!(runs(&s.arrive(1, &[request(1, 0), request(2, 0)])).len(), 2);
     let out = s.arrive(5, &[request(3, 1)]);
     let paused = out.iter().find_map(|a| if let Action::Stop(id) = a { Some(id.0) } else { None });
@@ -423,7 +427,7 @@
     assert_eq!(runs(&s.at(5, &[ended(3, Outcome::Good)])), [1]);
     // Keyed work is never paused, and nothing is where work cannot be taken up again.
     for (halt, first) in [(StopMode::Freeze, 1), (StopMode::Discard, 0)] {
-        let mut s = Server::new(Settings { stop_mode: halt, ..settings() });
+        let mut s = PolicyUnderTest::new(Settings { stop_mode: halt, ..settings() });
         s.arrive(1, &[1, 2].map(|i| Request { rank: 0.1, ..request(i, first) }));
         assert!(runs(&s.arrive(5, &[request(3, 2)])).is_empty(), "{halt:?}");
     }
@@ -431,7 +435,7 @@
 
 #[test]
 fn paused_work_is_answered_in_time() {
-    let mut s = Server::new(Settings { stop_mode: StopMode::Freeze, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { stop_mode: StopMode::Freeze, ..settings() });
     s.arrive(1, &[request(1, 0), request(2, 0)]);
     s.arrive(5, &[request(3, 1), request(4, 2)]);
     s.at(5, &[ended(1, Outcome::Cancelled), ended(2, Outcome::Cancelled)]);
@@ -444,7 +448,7 @@
 /// of their ratios to run times, inflated by small hints, once turned away one large request in nine on quiet days.
 #[test]
 fn a_large_hint_is_no_reason_to_refuse_on_idle_cores() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     s.idle(600, 0.1);
     for (id, hint, lag) in [(1, 10, 100), (2, 100, 110), (3, 10, 100)] {
         s.arrive(5, &[Request { expected_work: Some(ms(hint)), ..request(id, 0) }]);
@@ -457,7 +461,7 @@
 /// A refusal says how long to stay away: until the hold has drained, and no longer than callers observe.
 #[test]
 fn refusals_carry_a_time_to_stay_away() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let all: Vec<Request> = (0..80).map(|i| request(i, 0)).collect();
     let mut out = s.arrive(5, &all);
     out.extend(s.idle(4_000, 1.0));
@@ -471,7 +475,7 @@
 /// A process that is replaced: what comes late still runs, health stays good, and all is answered before the stop.
 #[test]
 fn replaced_is_no_notice_but_all_is_answered_in_time() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     s.arrive(0, &[request(1, 2)]);
     let stop = s.now + ms(1_800);
     let told = s.at(0, &[Event::SuccessorStarted(stop)]);
