--- a/tests/keyed_window.rs
+++ b/tests/keyed_window.rs
@@ -22,7 +22,7 @@
 }
 
 fn keyed_write(c: &Core, call: u32, key: &str) -> Input {
-    c.ask(call, 1, Some(key))
+    c.request(call, 1, Some(key))
 }
 
 fn ended(call: u32, end: Outcome) -> Input {
@@ -57,22 +57,22 @@
     for (window, deadline, fresh) in WINDOWS {
         let mut c = core(window, deadline, fresh);
         let first = keyed_write(&c, 1, "k");
-        assert_eq!(launches_and_answers(&c.after(vec![first], 10)), (vec!["r1".to_owned()], vec![]));
+        assert_eq!(launches_and_answers(&c.advance(vec![first], 10)), (vec!["r1".to_owned()], vec![]));
         let while_it_runs = keyed_write(&c, 2, "k");
-        let out = c.after(vec![while_it_runs, ended(1, Outcome::Good)], 20);
+        let out = c.advance(vec![while_it_runs, ended(1, Outcome::Good)], 20);
         let (launched, mut answered) = launches_and_answers(&out);
         answered.sort_by_key(|a| a.0);
         assert_eq!((launched, answered), (vec![], vec![served(1, 1), served(2, 1)]), "{window} {fresh}");
-        c.after(vec![], window - 100);
+        c.advance(vec![], window - 100);
         let late = keyed_write(&c, 3, "k");
         assert_eq!(
-            launches_and_answers(&c.after(vec![late], 20)),
+            launches_and_answers(&c.advance(vec![late], 20)),
             (vec![], vec![served(3, 1)]),
             "{window} {deadline} {fresh}"
         );
         // A write with another key is a different write.
         let other = keyed_write(&c, 4, "l");
-        assert_eq!(launches_and_answers(&c.after(vec![other], 20)).0, ["r4"]);
+        assert_eq!(launches_and_answers(&c.advance(vec![other], 20)).0, ["r4"]);
     }
 }
 
@@ -85,12 +85,12 @@
             let mut c = core(window, deadline, fresh);
             let first = keyed_write(&c, 1, "k");
             let start = c.now;
-            c.after(vec![first], 10);
-            c.after(vec![ended(1, Outcome::Good)], 10);
-            c.after(vec![], window - 100);
+            c.advance(vec![first], 10);
+            c.advance(vec![ended(1, Outcome::Good)], 10);
+            c.advance(vec![], window - 100);
             c.now = start + ms(window + late_by);
             let next = keyed_write(&c, 2, "k");
-            let (launched, answered) = launches_and_answers(&c.after(vec![next], 20));
+            let (launched, answered) = launches_and_answers(&c.advance(vec![next], 20));
             assert_eq!(launched.is_empty(), !runs, "{window} {deadline} {fresh} {late_by}");
             assert_eq!(answered == [served(2, 1)], !runs, "{window} {deadline} {fresh} {late_by}");
         }
@@ -102,16 +102,16 @@
     for (window, deadline, fresh) in WINDOWS {
         let mut c = core(window, deadline, fresh);
         let first = keyed_write(&c, 1, "k");
-        c.after(vec![first], 10);
-        assert_eq!(launches_and_answers(&c.after(vec![ended(1, Outcome::Good)], 10)).1, [served(1, 1)]);
-        c.after(vec![], window + 100);
+        c.advance(vec![first], 10);
+        assert_eq!(launches_and_answers(&c.advance(vec![ended(1, Outcome::Good)], 10)).1, [served(1, 1)]);
+        c.advance(vec![], window + 100);
         let next = keyed_write(&c, 2, "k");
         assert_eq!(
-            launches_and_answers(&c.after(vec![next], 20)),
+            launches_and_answers(&c.advance(vec![next], 20)),
             (vec!["r2".to_owned()], vec![]),
             "{window} {deadline} {fresh}"
         );
-        assert_eq!(launches_and_answers(&c.after(vec![ended(2, Outcome::Good)], 10)).1, [served(2, 2)]);
+        assert_eq!(launches_and_answers(&c.advance(vec![ended(2, Outcome::Good)], 10)).1, [served(2, 2)]);
     }
 }
 
@@ -120,17 +120,17 @@
     for (window, deadline, fresh) in WINDOWS {
         let mut c = core(window, deadline, fresh);
         let first = keyed_write(&c, 1, "k");
-        c.after(vec![first], 10);
+        c.advance(vec![first], 10);
         assert_eq!(
-            launches_and_answers(&c.after(vec![ended(1, Outcome::Bad)], 10)).1,
+            launches_and_answers(&c.advance(vec![ended(1, Outcome::Bad)], 10)).1,
             [(1, Answer::Failed(FailureReason::RunFailed))]
         );
         let again = keyed_write(&c, 2, "k");
-        let (launched, answered) = launches_and_answers(&c.after(vec![again], 20));
+        let (launched, answered) = launches_and_answers(&c.advance(vec![again], 20));
         assert!(launched.is_empty() && matches!(answered[..], [(2, Answer::Failed(_))]), "{answered:?}");
-        c.after(vec![], window + 100);
+        c.advance(vec![], window + 100);
         let next = keyed_write(&c, 3, "k");
-        assert_eq!(launches_and_answers(&c.after(vec![next], 20)).0, ["r3"], "{window} {deadline} {fresh}");
+        assert_eq!(launches_and_answers(&c.advance(vec![next], 20)).0, ["r3"], "{window} {deadline} {fresh}");
     }
 }
 
@@ -154,9 +154,9 @@
                 keep_until: window_end + ms(deadline),
             };
             let result = Bytes::from_static(b"result 9");
-            c.after(vec![Input::ChangeReceived(Change::Known(other, Progress::Good(result)))], late);
+            c.advance(vec![Input::ChangeReceived(Change::Known(other, Progress::Good(result)))], late);
             let repeat = keyed_write(&c, 1, "k");
-            let (launched, answered) = launches_and_answers(&c.after(vec![repeat], 20));
+            let (launched, answered) = launches_and_answers(&c.advance(vec![repeat], 20));
             if runs {
                 assert_eq!(
                     (launched, answered),
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -49,7 +49,7 @@
 /// Runs one random sequence; returns the numbers of runs, answers and pauses.
 fn check_random_sequence(seed: u64, settings: Settings) -> (usize, usize, usize) {
     let mut generator = Generator(seed);
-    let mut s = Server::new(settings.clone());
+    let mut s = PolicyUnderTest::new(settings.clone());
     let mut requests: BTreeMap<u32, RequestRecord> = BTreeMap::new();
     // By subject: when the attempt that ran arrived and its number, and the attempt whose key is retained and until
     // when.
@@ -336,7 +336,7 @@
 #[test]
 fn equal_event_sequences_give_equal_actions() {
     let run_sequence = || {
-        let mut s = Server::new(settings());
+        let mut s = PolicyUnderTest::new(settings());
         let mut generator = Generator(3);
         let mut all = Vec::new();
         for i in 0..500 {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_batch_with_an_invalid_event_is_rejected_without_actions() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let mut out = Vec::new();
     let events = [Event::Arrived(request(1, 0)), Event::Arrived(request(2, 9))];
     assert_eq!(s.policy.step(s.now, &events, &mut out), Err(EventError::UnknownClass(RequestId(2))));
@@ -36,7 +36,7 @@
 
 #[test]
 fn unknown_and_finished_requests_are_ignored() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let out = s.at(
         1,
         &[
@@ -51,26 +51,26 @@
 
 #[test]
 fn highest_rank_starts_first() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let out = s.arrive(1, &[request(1, 0), request(2, 1), request(3, 0), request(4, 2)]);
     assert_eq!(&runs(&out)[..2], &[4, 2], "by rank, not by order of arrival");
 }
 
 #[test]
 fn requests_over_their_tenants_quota_start_last() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let over = |id, class| Request { is_over_quota: true, ..request(id, class) };
     let out = s.arrive(1, &[over(1, 2), request(2, 0), over(3, 0), request(4, 1)]);
     assert_eq!(&runs(&out)[..2], &[4, 2], "requests over quota start after all others, whatever their rank");
     assert_eq!(answers(&out), [0; 0], "requests over quota are not refused for that reason");
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let out = s.arrive(1, &[over(1, 0), over(2, 2)]);
     assert_eq!(runs(&out), [2, 1], "with free cores, requests over quota run in order of rank");
 }
 
 #[test]
 fn every_read_request_is_answered_by_its_due_time() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let all: Vec<Request> =
         (0..40).map(|i| Request { due: Some(s.now + ms(800)), ..request(i, 2) }).collect();
     let mut out = s.arrive(1, &all);
@@ -85,13 +85,13 @@
 
 #[test]
 fn due_time_derives_from_arrival_if_the_caller_sends_none() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     // It waited unread for 2.5 s of its 3 s; its latency objective has passed.
     let out = s.arrive(1, &[Request { unread_time: ms(2_500), ..request(1, 0) }]);
     assert_eq!(answers(&out), [-1]);
     let valued_late =
         ClassSettings { late_weight: 0.2, ..class("read", Effect::Retryable, 1_000, 3_000, 1.0) };
-    let mut s = Server::new(Settings { classes: vec![valued_late].into(), ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { classes: vec![valued_late].into(), ..settings() });
     let out = s.arrive(1, &[Request { unread_time: ms(2_500), rank: 0.5, ..request(1, 0) }]);
     assert_eq!(runs(&out), [1]);
     let got = answers(&s.idle(510, 1.0));
@@ -100,7 +100,7 @@
 
 #[test]
 fn repeats_of_keyed_work_join_the_attempt_that_ran() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let out = s.arrive(1, &[request(1, 1)]);
     assert_eq!(runs(&out), [1]);
     assert!(out.iter().any(|a| matches!(a, Action::RetainKey(RequestId(1), span) if *span >= ms(5_000))));
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_repeat_of_failed_keyed_work_fails_without_a_run() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     s.arrive(1, &[request(1, 1)]);
     s.at(50, &[ended(1, Outcome::Bad)]);
     let out = s.arrive(10, &[Request { repeats: Some(RequestId(1)), ..request(2, 1) }]);
@@ -126,7 +126,7 @@
 
 #[test]
 fn one_of_two_queued_attempts_of_a_key_runs() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     s.arrive(1, &(10..20).map(|i| Request { rank: 0.99, ..request(i, 2) }).collect::<Vec<_>>());
     // Both arrive in one batch, and each repeats the other.
     let a = Request { repeats: Some(RequestId(2)), ..request(1, 1) };
@@ -140,7 +140,7 @@
 
 #[test]
 fn a_repeat_runs_if_the_queued_first_attempt_was_cancelled() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     s.arrive(1, &(10..20).map(|i| Request { rank: 0.99, ..request(i, 2) }).collect::<Vec<_>>());
     s.arrive(1, &[request(1, 1)]);
     s.at(5, &[Event::Cancelled(RequestId(1))]);
@@ -151,7 +151,7 @@
 
 #[test]
 fn requests_that_arrive_after_the_drain_grace_never_run() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let stop = s.now + ms(5_000);
     s.at(0, &[Event::Drain(stop)]);
     assert_eq!(runs(&s.arrive(990, &[request(1, 0)])), [1]);
@@ -163,7 +163,7 @@
 
 #[test]
 fn every_request_is_answered_before_a_draining_process_stops() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let mut out = s.arrive(1, &(0..30).map(|i| request(i, 2)).collect::<Vec<_>>());
     let stop = s.now + ms(300);
     out.extend(s.at(0, &[Event::Drain(stop)]));
@@ -173,7 +173,7 @@
 
 #[test]
 fn requests_of_the_lowest_rank_are_refused_to_save_memory() {
-    let mut s = Server::new(Settings { memory_kb: 2_000.0, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { memory_kb: 2_000.0, ..settings() });
     let all: Vec<Request> =
         (0..110).map(|i| Request { rank: f64::from(i) / 110.0, ..request(i, 0) }).collect();
     let out = s.arrive(1, &all);
@@ -186,21 +186,21 @@
 
 #[test]
 fn a_keyed_request_is_refused_without_memory_for_its_key() {
-    let mut s = Server::new(Settings { memory_kb: 100.0, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { memory_kb: 100.0, ..settings() });
     assert_eq!(answers(&s.arrive(1, &[request(1, 1)])), [-1]);
 }
 
 #[test]
 fn a_cold_server_runs_fewer_requests_at_a_time() {
     // At a quarter of full speed the server survives 1 + 2 x 0.25 = 1.5 runs per core, so three on two cores.
-    let mut s = Server::new(Settings { is_cold: true, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { is_cold: true, ..settings() });
     let out = s.arrive(1, &(0..20).map(|i| request(i, 2)).collect::<Vec<_>>());
     assert!((1..3).contains(&runs(&out).len()), "{:?}", runs(&out));
 }
 
 #[test]
 fn failed_work_occupies_its_core_until_it_ends() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let first: Vec<Request> =
         (0..2).map(|i| Request { due: Some(s.now + ms(400)), ..request(i, 2) }).collect();
     let started = runs(&s.arrive(1, &first)).len();
@@ -228,7 +228,7 @@
     for (outcome, is_repeated) in
         [(Outcome::Full, true), (Outcome::Unreachable, true), (Outcome::Bad, false), (Outcome::Late, false)]
     {
-        let mut s = Server::new(calling());
+        let mut s = PolicyUnderTest::new(calling());
         s.arrive(1, &[request(1, 1)]);
         assert_eq!(calls(&s.at(5, &[Event::CallRequested(RequestId(1))])), 1);
         let mut out = s.at(5, &[Event::CallEnded(RequestId(1), outcome, Micros(9))]);
@@ -249,7 +249,7 @@
     for (unread_ms, is_retry, is_queued) in
         [(100, false, true), (450, false, false), (100, true, true), (450, true, true), (750, true, false)]
     {
-        let mut s = Server::new(settings());
+        let mut s = PolicyUnderTest::new(settings());
         for id in 0..40 {
             s.arrive(5, &[request(id, 0)]);
             s.at(5, &[Event::RunEnded(RequestId(id), Outcome::Good, ms(300))]);
@@ -266,7 +266,7 @@
 /// returned again and again.
 #[test]
 fn a_draining_server_advises_to_retry_after_it_has_stopped() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let stop = s.now + ms(2_000);
     s.at(0, &[Event::Drain(stop)]);
     for (after, id, expected_ms) in [(1_200, 1, 800), (600, 2, 200)] {
@@ -282,8 +282,8 @@
 /// as long. A call that may not be repeated can take until the due time, and so can any call while slow answers arrive.
 #[test]
 fn repeatable_calls_are_repeated_while_calls_go_unanswered() {
-    let mut s = Server::new(Settings { downstream: Downstream::Tier, ..calling() });
-    let wait = |s: &mut Server, id: u32, class: usize| {
+    let mut s = PolicyUnderTest::new(Settings { downstream: Downstream::Tier, ..calling() });
+    let wait = |s: &mut PolicyUnderTest, id: u32, class: usize| {
         s.arrive(1, &[request(id, class)]);
         let out = s.at(0, &[Event::CallRequested(RequestId(id))]);
         let until = out.iter().find_map(|a| if let Action::Call(_, u) = a { Some(*u) } else { None });
@@ -305,7 +305,7 @@
 
 #[test]
 fn calls_stay_within_the_configured_dependency_share() {
-    let mut s = Server::new(calling());
+    let mut s = PolicyUnderTest::new(calling());
     let ids = [1, 2, 3];
     s.arrive(1, &ids.map(|i| request(i, 2)));
     let out = s.at(5, &ids.map(|i| Event::CallRequested(RequestId(i))));
@@ -317,7 +317,7 @@
 #[test]
 fn a_dependency_share_below_one_call_is_kept_as_a_mean() {
     // Scenario serra-alta-farm-later: hundreds of servers, each with a dependency share of less than half a call.
-    let mut s = Server::new(Settings { dependency_share: 0.4, ..calling() });
+    let mut s = PolicyUnderTest::new(Settings { dependency_share: 0.4, ..calling() });
     let mut placed = 0;
     for next in 0..400 {
         s.arrive(1, &[Request { due: Some(s.now + ms(2_000)), ..request(next, 2) }]);
@@ -333,7 +333,7 @@
 #[test]
 fn time_spent_unread_raises_the_minimum_rank() {
     // Incident i49b292: the queue was short while requests waited unread.
-    let mut s = Server::new(Settings { load_signal: LoadSignal::MinimumRank, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { load_signal: LoadSignal::MinimumRank, ..settings() });
     let mut minimum_rank = 0.0;
     for i in 0..150 {
         let r = Request { unread_time: ms(900), ..request(i, 1) };
@@ -352,8 +352,12 @@
 fn the_start_limit_does_not_apply_while_cores_are_free() {
     // Scenario waw-transfers big-1: the start limit N delayed requests at an occupancy of 0.85, most of it from
     // reading.
-    let mut s =
-        Server::new(Settings { is_cold: true, cold_speed: 0.01, max_runs_per_core: 200.0, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings {
+        is_cold: true,
+        cold_speed: 0.01,
+        max_runs_per_core: 200.0,
+        ..settings()
+    });
     s.idle(30, 0.85);
     for i in 0..8 {
         assert_eq!(runs(&s.arrive(1, &[request(i, 2)])), [i]);
@@ -368,7 +372,7 @@
 fn many_tasks_that_read_requests_reduce_the_runs_started() {
     // Incident i2802c7: reading and the full number of runs together overloaded the cores.
     let started = |on_cores: f64| {
-        let mut s = Server::new(Settings { cores: 6, max_runs_per_core: 8.0, ..settings() });
+        let mut s = PolicyUnderTest::new(Settings { cores: 6, max_runs_per_core: 8.0, ..settings() });
         let g = Gauges { busy: Some(0.9), on_cores: Some(on_cores), ..Gauges::default() };
         s.at(15, &[Event::Timer(TimerToken(0), g)]);
         runs(&s.arrive(1, &(0..20).map(|i| request(i, 2)).collect::<Vec<_>>())).len()
@@ -379,7 +383,7 @@
 #[test]
 fn higher_classes_start_while_lower_ones_wait_for_calls() {
     // Incident ia75f96: low requests that waited for their calls blocked starts of every class that makes calls.
-    let mut s = Server::new(Settings { cores: 6, dependency_share: 4.0, ..calling() });
+    let mut s = PolicyUnderTest::new(Settings { cores: 6, dependency_share: 4.0, ..calling() });
     let low = [1, 2, 3].map(|i| request(i, 0));
     s.arrive(1, &low);
     s.at(5, &[1, 2, 3].map(|i| Event::CallRequested(RequestId(i))));
@@ -391,7 +395,7 @@
 fn the_more_is_refused_the_fewer_refusals_may_be_retried_elsewhere() {
     // Scenario waw-transfers-later big-1: without retries elsewhere, everything that slow machines refused was lost
     // although others had room. With retries of every refusal, reading overloaded the whole fleet.
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let mut may_retry_elsewhere = Vec::new();
     for round in 0..12 {
         let ids = round * 20..round * 20 + 20;
@@ -415,7 +419,7 @@
     // Scenario serra-alta-farm-later: half of the attempts were refused because idle connections filled the connection
     // limit.
     let closes = |connections: f64| {
-        let mut s = Server::new(settings());
+        let mut s = PolicyUnderTest::new(settings());
         let g = Gauges { busy: Some(0.5), connections: Some(connections), ..Gauges::default() };
         let out = s.at(300, &[Event::Timer(TimerToken(0), g)]);
         out.iter().any(|a| matches!(a, Action::CloseIdleConnections(t) if *t >= ms(10) && *t <= ms(30_000)))
@@ -426,7 +430,7 @@
 #[test]
 fn work_of_low_rank_is_paused_for_higher_classes() {
     // Scenario waw-transfers-later: on two cores urgent requests waited for long runs of low rank to end.
-    let mut s = Server::new(Settings { stop_mode: StopMode::Freeze, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { stop_mode: StopMode::Freeze, ..settings() });
     assert_eq!(runs(&s.arrive(1, &[request(1, 0), request(2, 0)])).len(), 2);
     let out = s.arrive(5, &[request(3, 1)]);
     let paused = out.iter().find_map(|a| if let Action::Stop(id) = a { Some(id.0) } else { None });
@@ -437,7 +441,7 @@
     assert_eq!(runs(&s.at(5, &[ended(3, Outcome::Good)])), [1]);
     // Keyed work is never paused, and no work is paused if it cannot be resumed.
     for (stop_mode, first) in [(StopMode::Freeze, 1), (StopMode::Discard, 0)] {
-        let mut s = Server::new(Settings { stop_mode, ..settings() });
+        let mut s = PolicyUnderTest::new(Settings { stop_mode, ..settings() });
         s.arrive(1, &[1, 2].map(|i| Request { rank: 0.1, ..request(i, first) }));
         assert!(runs(&s.arrive(5, &[request(3, 2)])).is_empty(), "{stop_mode:?}");
     }
@@ -445,7 +449,7 @@
 
 #[test]
 fn paused_work_is_answered_in_time() {
-    let mut s = Server::new(Settings { stop_mode: StopMode::Freeze, ..settings() });
+    let mut s = PolicyUnderTest::new(Settings { stop_mode: StopMode::Freeze, ..settings() });
     s.arrive(1, &[request(1, 0), request(2, 0)]);
     s.arrive(5, &[request(3, 1), request(4, 2)]);
     s.at(5, &[ended(1, Outcome::Cancelled), ended(2, Outcome::Cancelled)]);
@@ -458,7 +462,7 @@
 /// hints inflate, one large request in nine was refused under light load.
 #[test]
 fn a_request_with_a_large_hint_is_not_refused_on_idle_cores() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     s.idle(600, 0.1);
     for (id, hint, lag) in [(1, 10, 100), (2, 100, 110), (3, 10, 100)] {
         s.arrive(5, &[Request { expected_work: Some(ms(hint)), ..request(id, 0) }]);
@@ -471,7 +475,7 @@
 /// The advised time lasts until the queue has drained, but no longer than callers observe.
 #[test]
 fn refusals_advise_when_to_retry() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     let all: Vec<Request> = (0..80).map(|i| request(i, 0)).collect();
     let mut out = s.arrive(5, &all);
     out.extend(s.idle(4_000, 1.0));
@@ -485,7 +489,7 @@
 /// Unlike a drain, a hot restart leaves health good, and late arrivals still run.
 #[test]
 fn a_process_with_a_successor_serves_on_and_answers_everything_before_it_stops() {
-    let mut s = Server::new(settings());
+    let mut s = PolicyUnderTest::new(settings());
     s.arrive(0, &[request(1, 2)]);
     let stop = s.now + ms(1_800);
     let out = s.at(0, &[Event::SuccessorStarted(stop)]);
