--- a/src/config_store/canary.rs
+++ b/src/config_store/canary.rs
@@ -1,7 +1,7 @@
-//! Canary rollout: a few nodes get a new version first, and the others get it once these have run with it for a while.
+//! Canary rollout: a few nodes get a new version first, and the others get it once these have passed probation with it.
 //!
-//! It stops versions that can be applied but that nodes can't work with. Nodes that already have such a version keep it until
-//! a later one arrives, as revisions never go back.
+//! It halts versions that can be applied but that nodes can't run with. Nodes that already have such a version keep it until
+//! a later one arrives, as revisions never decrease.
 //!
 //! The leading replica owns the state. It only proposes a [`RolloutDecision`]; a decision takes effect once the replicas have
 //! agreed on it, so that the next leader continues from there. There is no I/O and no clock: callers pass the time.
@@ -14,14 +14,15 @@
 use super::rollout_decision::{CanaryFailure, RolloutDecision, RolloutHalted};
 use crate::interface::Micros;
 
-/// Versions of a canary that are in probation at a time; later ones are tried with a later version.
+/// Most versions of one canary in probation at a time. A version above this limit has no probation of its own; a later
+/// version covers it.
 const PROBATION_VERSIONS_MAX: usize = 64;
-/// Most processes that are tracked; others never become canaries.
+/// Most processes that are tracked. Further processes never become canaries.
 const PROCESSES_MAX: usize = 16_384;
-/// A process without a report for this many report timeouts is forgotten.
+/// A process without a report for this many report timeouts is no longer tracked.
 const FORGET_AFTER_TIMEOUTS: u64 = 10;
 
-/// How a version is tried.
+/// How a version is tested on canary nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CanaryPolicy {
     /// Most canary nodes at a time. There are never more than a quarter of the live nodes, and at least one.
@@ -55,11 +56,11 @@
 pub struct CanaryReport<'a> {
     /// The node's name.
     pub node: &'a str,
-    /// Drawn at the start of its process.
+    /// Identifies the process; drawn at random when it starts.
     pub incarnation: u64,
     /// The version in force.
     pub in_force: Revision,
-    /// A version that it can't put in force, and the reason.
+    /// A version that the node can't put in force, and the reason.
     pub rejected: Option<(Revision, &'a str)>,
 }
 
@@ -69,7 +70,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProcessState {
     Serving,
-    /// It was asked to stop, so its end says nothing about a version.
+    /// The process was told to stop, so the end of its reports is not counted as a failure of a version.
     Draining,
 }
 
@@ -82,9 +83,9 @@
 
 #[derive(Clone, Debug)]
 struct Canary {
-    /// Whether it was notified of a version on trial. If it was not, its end says nothing about that version.
+    /// Whether the node was notified of a version on trial. If not, the end of its reports is not counted as a failure.
     notified: bool,
-    /// When it last adopted a newer version, or was selected.
+    /// When the node last adopted a newer version, or was selected.
     progressed_at: Micros,
     /// Versions in probation, and since when each is in force; later ones last.
     in_probation: VecDeque<(Revision, Micros)>,
@@ -103,29 +104,29 @@
     }
 }
 
-/// Canaries always get the newest version. Each version has its own probation, so a change does not wait for the trial of
+/// The test of the newest version on its canaries. Canaries always get the newest version. Each version has its own probation, so a change does not wait for the trial of
 /// the change before it.
 #[derive(Clone, Debug)]
 struct Trial {
     /// The newest version that canaries are notified of.
     revision: Revision,
     canaries: BTreeMap<Process, Canary>,
-    /// Failed nodes; they are canaries no more.
+    /// Failed nodes; they are no longer canaries.
     failures: BTreeMap<String, CanaryFailure>,
-    /// Processes that took too long; they are not selected again while there are others.
+    /// Processes that adopted no version in time; they are not selected again while there are other candidates.
     timed_out: Vec<Process>,
 }
 
 impl Trial {
-    fn of(revision: Revision) -> Trial {
+    fn new(revision: Revision) -> Trial {
         Trial { revision, canaries: BTreeMap::new(), failures: BTreeMap::new(), timed_out: Vec::new() }
     }
 
-    /// The newest version that `enough` canaries have passed, or later ones.
-    fn passed_by(&self, enough: usize) -> Option<Revision> {
+    /// The newest version such that at least `required` canaries have passed it or a later one.
+    fn passed_by(&self, required: usize) -> Option<Revision> {
         let mut passed: Vec<Revision> = self.canaries.values().map(|canary| canary.passed).collect();
         passed.sort_unstable_by(|a, b| b.cmp(a));
-        passed.get(enough - 1).copied()
+        passed.get(required - 1).copied()
     }
 }
 
@@ -137,7 +138,7 @@
     newest: Revision,
     /// All nodes may have this version.
     approved: Revision,
-    /// An operator has rolled this version back: it and those before it are not tried any more.
+    /// An operator has rolled this version back: it and earlier versions are not tested any more.
     withdrawn: Revision,
     trial: Option<Trial>,
     halted: Option<RolloutHalted>,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Takes over the versions and decisions that were agreed since the last call.
+    /// Applies the versions and decisions that were agreed since the last call.
     pub fn follow_history(&mut self, now: Micros, history: &History) {
         if let Some(halted) = history.halted()
             && self.halted.as_ref().is_none_or(|known| known.revision != halted.revision)
@@ -181,7 +182,7 @@
         }
     }
 
-    /// The next version restores the records of an earlier one: versions up to `revision` are not tried any more.
+    /// The next version restores the records of an earlier one: versions up to `revision` are not tested any more.
     pub fn withdraw_up_to(&mut self, revision: Revision) {
         self.withdrawn = self.withdrawn.max(revision);
         for canary in self.trial.iter_mut().flat_map(|trial| trial.canaries.values_mut()) {
@@ -190,7 +191,7 @@
         }
     }
 
-    /// A version was agreed. It is tried at once, together with those on trial.
+    /// Adds a newly agreed version. It is tested at once, together with the versions already on trial.
     pub fn add_version(&mut self, now: Micros, revision: Revision) {
         self.newest = self.newest.max(revision);
         if let Some(trial) = &mut self.trial
@@ -203,7 +204,7 @@
         self.evaluate(now);
     }
 
-    /// A decision was agreed: this rollout's own, a former leader's, or an operator's.
+    /// Applies an agreed decision: this rollout's own, a former leader's, or an operator's.
     pub fn apply_decision(&mut self, now: Micros, decision: &RolloutDecision) {
         self.pending_decision = None;
         match decision {
@@ -223,7 +224,7 @@
         self.newest = self.newest.max(revision);
         self.halted.take_if(|halted| halted.revision <= revision);
         if let Some(trial) = self.trial.as_mut().filter(|trial| trial.revision > revision) {
-            // Failures so far have other causes than a later version; unrelated failures must not add up over many changes.
+            // Failures so far were not caused by a later version; unrelated failures must not add up over many changes.
             trial.failures.clear();
             trial.timed_out.clear();
         } else {
@@ -245,7 +246,7 @@
             canary.in_probation.push_back((*in_force, now));
             canary.progressed_at = now;
         }
-        // A node goes on to report the rejection of an older version until it has tried the newest.
+        // A node continues to report the rejection of an older version until it has processed the newest.
         if let Some((_, reason)) = rejected.filter(|(revision, _)| *revision == trial.revision) {
             trial.failures.insert((*node).to_owned(), CanaryFailure::Rejected(reason.to_owned()));
             trial.canaries.remove(&process);
@@ -265,7 +266,7 @@
         }
     }
 
-    /// A process was asked to stop. It is a canary no more, and its silence is no failure.
+    /// Marks a process that was told to stop. It is no longer a canary, and the end of its reports is not a failure.
     pub fn mark_draining(&mut self, node: &str, incarnation: u64) {
         let process = (node.to_owned(), incarnation);
         if let Some(status) = self.processes.get_mut(&process) {
@@ -286,7 +287,7 @@
         }
     }
 
-    /// The newest version that a process may have; it is recorded as notified of it.
+    /// Returns the newest version that a process may have, and records that a canary was notified of it.
     pub fn notify(&mut self, node: &str, incarnation: u64) -> Revision {
         let process = (node.to_owned(), incarnation);
         if let Some(trial) = &mut self.trial
@@ -298,7 +299,7 @@
         self.approved
     }
 
-    /// The newest version that is decided: approved, halted or withdrawn. Neither it nor earlier versions are tried any more,
+    /// The newest version that is decided: approved, halted or withdrawn. Neither it nor earlier versions are tested any more,
     /// though some nodes still report them.
     fn settled_revision(&self) -> Revision {
         let settled = self.approved.max(self.withdrawn);
@@ -323,17 +324,17 @@
         self.pending_decision.as_ref()
     }
 
-    /// The names of the present canaries.
+    /// The names of the current canaries.
     pub fn canaries(&self) -> impl Iterator<Item = &str> {
         self.trial.iter().flat_map(|trial| trial.canaries.keys()).map(|(name, _)| name.as_str())
     }
 
-    /// Updates the trial to the present time; to be called a few times a second.
+    /// Updates the trial to the time `now`; to be called a few times a second.
     pub fn evaluate(&mut self, now: Micros) {
         let forget_after = Micros(self.policy.report_timeout.0.saturating_mul(FORGET_AFTER_TIMEOUTS));
         self.processes.retain(|_, status| now - status.last_report <= forget_after);
         if self.trial.is_none() && self.newest > self.settled_revision() {
-            self.trial = Some(Trial::of(self.newest));
+            self.trial = Some(Trial::new(self.newest));
         }
         self.pending_decision = None;
         let Some(mut trial) = self.trial.take() else { return };
@@ -344,21 +345,21 @@
             let halted = RolloutHalted { revision: trial.revision, failures: trial.failures.clone() };
             self.pending_decision = Some(RolloutDecision::Halted(halted));
         } else {
-            // One in four may still be fetching.
-            let enough = (wanted - wanted / 4).max(1);
-            let passed = trial.passed_by(enough).filter(|passed| *passed > self.approved);
+            // Up to a quarter of the canaries may still be fetching the version.
+            let required = (wanted - wanted / 4).max(1);
+            let passed = trial.passed_by(required).filter(|passed| *passed > self.approved);
             self.pending_decision = passed.map(RolloutDecision::Approved);
             self.select_canaries(now, &mut trial, wanted);
         }
         self.trial = Some(trial);
     }
 
-    /// Whether a process reports and was not asked to stop.
+    /// Whether a process reports in time and was not told to stop.
     fn is_eligible(&self, now: Micros, status: &ProcessStatus) -> bool {
         status.state == ProcessState::Serving && now - status.last_report <= self.policy.report_timeout
     }
 
-    /// Removes canaries that fail or take too long, and advances the others' probation.
+    /// Removes canaries that fail or adopt no version in time, and advances the others' probation.
     fn evaluate_canaries(&self, now: Micros, trial: &mut Trial) {
         let CanaryPolicy { probation, report_timeout, fetch_window, .. } = self.policy;
         let Trial { revision, canaries, failures, timed_out } = trial;
@@ -370,7 +371,8 @@
                 }
                 return false;
             };
-            // Two reports, one probation apart: a node that crashes at once with the version reports it once at the most.
+            // Passing needs two reports at least one probation apart: a node that crashes at once with the version sends at
+            // most one report of it.
             let in_probation = &mut canary.in_probation;
             while let Some((passed, _)) =
                 in_probation.pop_front_if(|(_, since)| status.last_report - *since >= probation)
@@ -386,7 +388,7 @@
         });
     }
 
-    /// How a process that stopped reporting has failed: another process of its name shows that it was restarted.
+    /// The failure of a process that stopped reporting: a later process of the same name shows that the node was restarted.
     fn failure_of(&self, process: &Process) -> CanaryFailure {
         let later_process = (process.0.clone(), process.1.saturating_add(1));
         let next = self.processes.range(later_process..).next();
@@ -397,7 +399,7 @@
         }
     }
 
-    /// Selects further canaries up to `wanted`, by a hash of the name and the version: others for each version.
+    /// Selects further canaries up to `wanted`, by a hash of the name and the version, so that each version gets different canaries.
     fn select_canaries(&self, now: Micros, trial: &mut Trial, wanted: usize) {
         let missing = wanted.saturating_sub(trial.canaries.len());
         if missing == 0 {
@@ -424,7 +426,7 @@
         let selected: Vec<Process> =
             candidates.into_iter().take(missing).map(|(_, process)| process.clone()).collect();
         if selected.is_empty() && trial.canaries.is_empty() {
-            // All live nodes took too long: they are tried again, as otherwise the trial would never end.
+            // All live nodes timed out: they become candidates again, as otherwise the trial would never end.
             trial.timed_out.clear();
         }
         for process in selected {
--- a/src/config_store/change_set.rs
+++ b/src/config_store/change_set.rs
@@ -12,7 +12,7 @@
 pub const AUTHOR_MAX: usize = 64;
 /// Longest note, bytes.
 pub const NOTE_MAX: usize = 256;
-/// Largest encoded change, bytes: a first change may bring all records that there may be.
+/// Largest encoded change, bytes: the first change may set as many records as a version may have.
 pub const CHANGE_BYTES_MAX: usize = 32 << 20;
 
 /// Most records in a change: all that a version may have, each once.
@@ -25,7 +25,7 @@
     sum
 };
 
-/// The records that are set and removed, made for one base version and no other.
+/// The records that a change sets and removes. It applies to one base version only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeSet {
     /// The version that it applies to; the result has the next revision.
@@ -36,22 +36,22 @@
     pub remove: Vec<RecordKey>,
     /// The digest of the resulting version.
     pub digest: Digest,
-    /// Who made it, at most [`AUTHOR_MAX`] bytes; shown to operators only.
+    /// The author's name, at most [`AUTHOR_MAX`] bytes; shown to operators only.
     pub author: String,
-    /// Why, at most [`NOTE_MAX`] bytes; shown to operators only.
+    /// The reason for the change, at most [`NOTE_MAX`] bytes; shown to operators only.
     pub note: String,
-    /// When, seconds since 1970 by the author's clock; shown to operators only.
+    /// When the change was made, seconds since 1970 by the author's clock; shown to operators only.
     pub at: u64,
 }
 
-/// Who makes a change, why and when; shown to operators only.
+/// The author of a change, its reason and its time; shown to operators only.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChangeAuthor {
-    /// Who.
+    /// The author's name, at most [`AUTHOR_MAX`] bytes.
     pub author: String,
-    /// Why.
+    /// The reason for the change, at most [`NOTE_MAX`] bytes.
     pub note: String,
-    /// When, seconds since 1970.
+    /// When the change was made, seconds since 1970.
     pub at: u64,
 }
 
@@ -65,13 +65,13 @@
     /// Checks that its lists and texts are within their bounds.
     pub(super) fn check_bounds(&self) -> Result<(), ChangeError> {
         if self.author.len() > AUTHOR_MAX {
-            return Err(ChangeError::TooLarge("the author's name has 64 bytes at most"));
+            return Err(ChangeError::TooLarge("the author's name is longer than 64 bytes"));
         }
         if self.note.len() > NOTE_MAX {
-            return Err(ChangeError::TooLarge("the note has 256 bytes at most"));
+            return Err(ChangeError::TooLarge("the note is longer than 256 bytes"));
         }
         if self.set.len().saturating_add(self.remove.len()) > RECORDS_MAX {
-            return Err(ChangeError::TooLarge("it has more records than there may be"));
+            return Err(ChangeError::TooLarge("the change has more records than a version may have"));
         }
         Ok(())
     }
@@ -81,7 +81,7 @@
     /// # Errors
     /// [`ChangeError::TooLarge`] above [`CHANGE_BYTES_MAX`].
     pub fn encode(&self) -> Result<Vec<u8>, ChangeError> {
-        let too_large = ChangeError::TooLarge("it has more bytes than a change may have");
+        let too_large = ChangeError::TooLarge("the encoded change is larger than 32 MiB");
         let bytes = postcard::to_allocvec(self).map_err(|_| too_large.clone())?;
         let bytes = checksum::append(bytes);
         if bytes.len() > CHANGE_BYTES_MAX { Err(too_large) } else { Ok(bytes) }
@@ -90,7 +90,7 @@
     /// Decodes a change. Whether it can be applied depends on the version that it is applied to.
     ///
     /// # Errors
-    /// [`DecodeError`] where the bytes are no change, or one out of its bounds.
+    /// [`DecodeError`] where the bytes are not an encoded change, or the change exceeds its bounds.
     pub fn decode(bytes: &[u8]) -> Result<ChangeSet, DecodeError> {
         if bytes.len() > CHANGE_BYTES_MAX {
             return Err(DecodeError::Length);
--- a/src/config_store/checksum.rs
+++ b/src/config_store/checksum.rs
@@ -1,8 +1,8 @@
-//! A checksum at the end of bytes that are sent or stored: bytes that were cut off or damaged are not decoded.
+//! A checksum at the end of sent or stored bytes, so that truncated or damaged bytes are not decoded.
 
 use super::error::DecodeError;
 
-/// Length of the checksum, bytes.
+/// Length of the checksum, bytes: the first bytes of a BLAKE3 hash.
 const CHECKSUM_BYTES: usize = 8;
 
 fn checksum_of(bytes: &[u8]) -> [u8; CHECKSUM_BYTES] {
@@ -18,10 +18,10 @@
     bytes
 }
 
-/// The bytes before the checksum.
+/// Checks the checksum and returns the bytes before it.
 ///
 /// # Errors
-/// [`DecodeError::Length`] where there is no room for a checksum, [`DecodeError::Checksum`] where it does not match.
+/// [`DecodeError::Length`] where the bytes are shorter than a checksum, [`DecodeError::Checksum`] where it does not match.
 pub(super) fn verify(bytes: &[u8]) -> Result<&[u8], DecodeError> {
     let body_len = bytes.len().checked_sub(CHECKSUM_BYTES).ok_or(DecodeError::Length)?;
     let (body, stored) = bytes.split_at(body_len);
--- a/src/config_store/digest.rs
+++ b/src/config_store/digest.rs
@@ -6,10 +6,10 @@
 
 /// Identifies all records of a version: the sum, lane by lane mod 2^64, of the first 256 bits of BLAKE3 over each record's
 /// bytes. It does not depend on the order of the records or on the changes that led to them, and a change updates it without
-/// a look at the other records.
+/// reading the other records.
 ///
-/// It is a sum and not an exclusive or: with exclusive or, a record that is there twice would cancel itself, and any 257
-/// records have a subset that cancels out. It detects accidents, not forgery: whoever may write changes is trusted.
+/// It is a sum and not an exclusive or: with exclusive or, a duplicate record would cancel itself, and any 257
+/// records have a subset that cancels out. It detects accidents, not forgery: the authors of changes are trusted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest([u64; 4]);
 
@@ -43,7 +43,7 @@
         Digest(std::array::from_fn(|lane| self.0[lane].wrapping_add(other.0[lane])))
     }
 
-    /// The digest with a record taken away.
+    /// The digest with a record removed.
     pub(super) fn minus(self, other: Digest) -> Digest {
         Digest(std::array::from_fn(|lane| self.0[lane].wrapping_sub(other.0[lane])))
     }
--- a/src/config_store/draft.rs
+++ b/src/config_store/draft.rs
@@ -1,4 +1,4 @@
-//! Makes changes against a version: from records to set and remove, or from all records that there should be.
+//! Creates changes to a version: from records to set and remove, or from the complete list of wanted records.
 
 use std::collections::BTreeSet;
 
@@ -11,10 +11,10 @@
 use super::version::ConfigVersion;
 
 impl ChangeSet {
-    /// A change of version `from` that sets and removes these records.
+    /// Creates a change to version `from` that sets and removes these records.
     ///
     /// # Errors
-    /// Why that version would reject it.
+    /// [`ChangeError`]: why version `from` would reject the change.
     pub fn draft(
         from: &ConfigVersion,
         set: Vec<Record>,
@@ -31,7 +31,7 @@
 /// The change after which `from` has exactly these records of the kinds in `covers`. Records of other kinds stay as they are.
 ///
 /// # Errors
-/// [`ChangeError::Empty`] where the records are there already; otherwise why the version would reject the change.
+/// [`ChangeError::Empty`] where the version has exactly these records already; otherwise why the version would reject the change.
 pub fn diff(
     from: &ConfigVersion,
     records: &[Record],
--- a/src/config_store/error.rs
+++ b/src/config_store/error.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{field} {reason}")]
 pub struct ValueError {
-    /// The field.
+    /// The key of the value in the operator's file.
     pub field: &'static str,
-    /// What is wrong with it, and what would be right.
+    /// What is wrong with the value, and what would be accepted.
     pub reason: String,
 }
 
@@ -21,43 +21,45 @@
     }
 }
 
-/// Why a change is rejected. Nothing of it is applied: the version in force stays as it was.
+/// Why a change is rejected. No part of it is applied, and the version in force is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// It is made for a later version: changes between are missing.
-    #[error("made for version {base}, and version {in_force} is in force: what lies between is missing")]
+    /// The change is made for a later version than the one in force: the changes between them are missing.
+    #[error(
+        "made for version {base}, but version {in_force} is in force: the changes between them are missing"
+    )]
     Gap {
-        /// The version that it is made for.
+        /// The version that the change is made for.
         base: Revision,
         /// The version in force.
         in_force: Revision,
     },
-    /// It is made for an earlier version: it came twice, or another change was first.
-    #[error("made for version {base}, and version {in_force} is in force already")]
+    /// The change is made for an earlier version: it is a duplicate, or another change was applied first.
+    #[error("made for version {base}, but version {in_force} is in force already")]
     Outdated {
-        /// The version that it is made for.
+        /// The version that the change is made for.
         base: Revision,
         /// The version in force.
         in_force: Revision,
     },
     /// There is no revision after the one in force.
-    #[error("version {0} is the last that there can be")]
+    #[error("version {0} is the highest possible; no change can follow it")]
     RevisionsExhausted(Revision),
-    /// The resulting version has another digest than the change says.
-    #[error("the whole after it has digest {actual}, and the change says {expected}")]
+    /// The resulting version has another digest than the change states.
+    #[error("the resulting version has digest {actual}, but the change states {expected}")]
     DigestMismatch {
         /// The digest in the change.
         expected: Digest,
         /// The digest of the resulting version.
         actual: Digest,
     },
-    /// It changes nothing.
+    /// The change sets and removes no record.
     #[error("it changes nothing")]
     Empty,
-    /// It removes a record that does not exist.
-    #[error("{0} is not there to be removed")]
+    /// The change removes a record that does not exist.
+    #[error("{0} does not exist and can't be removed")]
     RecordNotFound(RecordKey),
-    /// It names one record twice.
+    /// The change contains one record twice.
     #[error("{0} is in the change twice")]
     DuplicateRecord(RecordKey),
     /// A record has a value out of its range.
@@ -69,7 +71,7 @@
         error: ValueError,
     },
     /// A record refers to another that would not exist.
-    #[error("{referrer} names {key}, which is not there")]
+    #[error("{referrer} refers to {key}, which does not exist")]
     MissingReference {
         /// The record that does not exist.
         key: RecordKey,
@@ -78,7 +80,7 @@
     },
     /// A record is removed that others still refer to.
     #[error(
-        "{key} is still named by {references} others; remove or change these first, or in the same change"
+        "{key} is still referred to by {references} others; remove or change these first, or in the same change"
     )]
     StillReferenced {
         /// The record that was to be removed.
@@ -89,52 +91,52 @@
     /// Two budgets of one tenant: only one of them would be used.
     #[error("{0} has a budget already; a tenant has one at the most")]
     DuplicateTenantBudget(RecordKey),
-    /// A budget scales with the zones, and there are none.
-    #[error("a budget by zone needs zones, and there would be none")]
+    /// A budget scales with the zones, and the version would have none.
+    #[error("a budget by zone needs zones, and the version would have none")]
     NoZones,
-    /// There would be tenants and no class: no node can work with that.
-    #[error("there would be tenants and no class; settings need one class at least")]
+    /// The version would have tenants and no class: no node can run with such settings.
+    #[error("there would be tenants but no class; settings need at least one class")]
     NoClasses,
     /// More records of a kind than a version may have.
-    #[error("there would be {count} records of kind {kind}; {max} are the most")]
+    #[error("there would be {count} records of kind {kind}; the maximum is {max}")]
     TooManyRecords {
         /// The kind.
         kind: RecordKind,
-        /// How many there would be.
+        /// The number of records that the version would have.
         count: usize,
-        /// How many there may be.
+        /// The maximum.
         max: usize,
     },
-    /// Author or note are too long, or the change has more records or bytes than it may have.
+    /// The author or the note is too long, or the change has too many records or bytes.
     #[error("{0}")]
     TooLarge(&'static str),
 }
 
-/// Why bytes are no change and no chunk of a snapshot.
+/// Why bytes can't be decoded as a change or as a chunk of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// Cut off, or longer than the maximum.
-    #[error("too short or too long")]
+    /// The bytes are truncated, or longer than the maximum.
+    #[error("the data are too short or too long")]
     Length,
     /// The checksum does not match.
-    #[error("the checksum does not fit")]
+    #[error("the checksum does not match")]
     Checksum,
     /// A format version that this program does not know.
-    #[error("of another form")]
+    #[error("the format version is unknown")]
     UnknownFormat,
     /// The contents can't be decoded.
-    #[error("can't be read")]
+    #[error("the contents can't be decoded")]
     Malformed,
-    /// It unpacks to more bytes or records than the maximum.
-    #[error("unpacks to more than there may be")]
+    /// The chunk unpacks to more bytes or records than the maximum.
+    #[error("unpacks to more bytes or records than the maximum")]
     UnpackedTooLarge,
-    /// A chunk of another snapshot, or not the next one.
+    /// The chunk belongs to another snapshot, or is not the next one.
     #[error("not the next chunk of this snapshot")]
     OutOfOrder,
-    /// All chunks are there, and the version has another digest than they say.
-    #[error("the whole has another digest than its chunks say")]
+    /// All chunks are received, and the version has another digest than the chunks state.
+    #[error("the assembled version has another digest than its chunks state")]
     DigestMismatch,
     /// The records can't form a version.
-    #[error("the whole can't be in force")]
+    #[error("the records do not form a valid version")]
     InvalidVersion,
 }
--- a/src/config_store/fetch.rs
+++ b/src/config_store/fetch.rs
@@ -14,7 +14,7 @@
 pub struct FetchSchedule {
     /// A request is sent at a random time within this window after a version is advertised.
     pub spread: Micros,
-    /// A request without a response by then has failed.
+    /// A request without a response after this time has failed.
     pub response_timeout: Micros,
     /// Wait after the first failed request; it doubles with each further failure.
     pub retry_initial: Micros,
@@ -23,7 +23,7 @@
 }
 
 impl Default for FetchSchedule {
-    /// In force on all nodes within 6 s, and 900 requests spread over a second.
+    /// A version is in force on all nodes within 6 s, and the requests of 900 nodes are spread over 1 s.
     fn default() -> FetchSchedule {
         FetchSchedule {
             spread: Micros::from_millis(1_000),
@@ -34,7 +34,7 @@
     }
 }
 
-/// A version that a replica says is agreed.
+/// A version that a replica advertises as agreed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Advertised {
     /// Its revision.
@@ -48,7 +48,7 @@
 pub enum FetchRequest {
     /// The changes that follow a version.
     Changes {
-        /// That version.
+        /// The version that the node has.
         since: Revision,
     },
     /// Chunks of a snapshot.
@@ -60,35 +60,35 @@
     },
 }
 
-/// A replica's response, or its absence.
+/// A replica's response, or the failure to get one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchResponse {
     /// Changes, in order.
     Changes(Vec<ChangeSet>),
     /// Chunks, in order, as many as the replica sends at a time.
     Chunks(Vec<Bytes>),
-    /// The changes are retained no more: it takes a snapshot.
+    /// The changes are no longer retained: a snapshot is needed.
     SnapshotRequired,
-    /// That snapshot is retained no more: it takes another one.
+    /// The requested snapshot is no longer retained: another one is needed.
     SnapshotExpired,
-    /// The replica is overloaded; not before this long.
+    /// The replica is overloaded; the next request must wait for this long.
     RetryAfter(Micros),
-    /// The replica has nothing newer.
+    /// The replica has no newer version.
     NothingNewer,
     /// No response, or one that can't be decoded.
     Failed,
 }
 
-/// What a response led to.
+/// The result of receiving or processing a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchOutcome {
     /// [`super::Follower::process_response`] has to be called until it returns something else.
     InProgress,
     /// A version is ready to be put in force.
     Ready,
-    /// More is needed; [`super::Follower::poll_request`] says when.
+    /// Another request is needed; [`super::Follower::poll_request`] returns it when it is due.
     RequestAgain,
-    /// The response was late, doubled or unexpected, and changed nothing.
+    /// The response was late, a duplicate or unexpected, and changed nothing.
     Ignored,
 }
 
@@ -96,15 +96,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum VersionRejected {
     /// The change to that version can't be applied.
-    #[error("the change to version {0}: {1}")]
+    #[error("the change to version {0} can't be applied: {1}")]
     Change(Revision, ChangeError),
-    /// A snapshot can't be decoded.
-    #[error("a snapshot: {0}")]
+    /// A snapshot can't be decoded or assembled.
+    #[error("a snapshot can't be used: {0}")]
     Snapshot(DecodeError),
-    /// The node can't work with the version's settings.
+    /// The node can't run with the version's settings.
     #[error("version {0}: {1}")]
     Settings(Revision, String),
-    /// The version has one digest here (the first) and another elsewhere.
+    /// The version has one digest on this node (the first) and another on a replica.
     #[error("version {0} is in force with digest {1}, and elsewhere with {2}")]
     Diverged(Revision, Digest, Digest),
 }
--- a/src/config_store/file_format.rs
+++ b/src/config_store/file_format.rs
@@ -15,11 +15,11 @@
 use super::record::{ClassRecord, Record, TenantRecord};
 use crate::interface::{ClassSettings, Effect, Micros, TenantSettings};
 
-/// An error in a file, and its line.
+/// An error in a configuration file, with its line.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{file}:{line}: {reason}")]
 pub struct ParseError {
-    /// The file.
+    /// The file's name, as the operator gave it.
     pub file: String,
     /// The line, from 1.
     pub line: usize,
@@ -27,10 +27,10 @@
     pub reason: String,
 }
 
-/// The records of a file.
+/// The records of a configuration file.
 #[derive(Clone, Debug)]
 pub struct ConfigFile {
-    /// The file.
+    /// The file's name, as the operator gave it.
     pub file: String,
     /// All records, in the file's order.
     pub records: Vec<Record>,
@@ -41,8 +41,8 @@
 }
 
 impl ConfigFile {
-    /// The error of a version that rejects the file's records, with the line of the record that it is about; the first line
-    /// where it is about no record.
+    /// Turns a version's rejection of the file's records into an error with the line of the record concerned, or line 1 where
+    /// the rejection concerns no single record.
     #[must_use]
     pub fn locate_error(&self, error: &ChangeError) -> ParseError {
         let key = match error {
@@ -74,20 +74,26 @@
 #[serde(rename_all = "kebab-case", default)]
 struct DomainSection {
     class_calls: Option<Vec<Value>>,
-    worth_without: Option<Vec<Value>>,
+    #[serde(rename = "worth-without")]
+    weights_without_call: Option<Vec<Value>>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", expecting = "a class with name, aim-us, deadline-us, points and effect")]
 struct ClassFile {
     name: String,
-    aim_us: f64,
-    aim_stretch: Option<f64>,
+    #[serde(rename = "aim-us")]
+    latency_objective_us: f64,
+    #[serde(rename = "aim-stretch")]
+    objective_stretch: Option<f64>,
     deadline_us: f64,
-    late_worth: Option<f64>,
-    points: f64,
+    #[serde(rename = "late-worth")]
+    late_weight: Option<f64>,
+    #[serde(rename = "points")]
+    priority_weight: f64,
     effect: EffectFile,
-    memory_span_us: Option<f64>,
+    #[serde(rename = "memory-span-us")]
+    repeat_window_us: Option<f64>,
 }
 
 #[derive(Deserialize)]
@@ -108,7 +114,7 @@
     quota_per_s: Option<f64>,
 }
 
-/// Finds the lines of positions in a text. Positions that ascend cost one pass over the text in all.
+/// Converts positions in a text to line numbers. Ascending positions cost one pass over the text in total.
 struct LineCounter<'a> {
     text: &'a str,
     position: usize,
@@ -130,7 +136,7 @@
     }
 }
 
-/// Reads the text of a file; `file` is its name for errors.
+/// Parses the text of a configuration file; `file` is the name that errors show.
 ///
 /// # Errors
 /// [`ParseError`] for the first error.
@@ -151,7 +157,7 @@
         covered_kinds: vec![RecordKind::Class],
         lines: HashMap::new(),
     };
-    // A file without tenants does not remove all tenants.
+    // A file without the key `accounts` does not remove the existing tenants.
     if top.accounts.is_some() {
         result.covered_kinds.push(RecordKind::Tenant);
     }
@@ -168,28 +174,28 @@
     }
 
     fn weight_without_call(&self, index: usize) -> f64 {
-        let value = self.worth_without.as_ref().and_then(|list| list.get(index));
+        let value = self.weights_without_call.as_ref().and_then(|list| list.get(index));
         value.and_then(Value::as_f64).unwrap_or(0.0)
     }
 }
 
 impl ClassFile {
-    fn into_record(self, calls: bool, worth_without_call: f64) -> Result<ClassRecord, ValueError> {
+    fn into_record(self, may_call: bool, weight_without_call: f64) -> Result<ClassRecord, ValueError> {
         let class = ClassSettings {
-            latency_objective: duration("aim-us", self.aim_us)?,
+            latency_objective: duration("aim-us", self.latency_objective_us)?,
             deadline: duration("deadline-us", self.deadline_us)?,
-            window: duration("memory-span-us", self.memory_span_us.unwrap_or(0.0))?,
+            window: duration("memory-span-us", self.repeat_window_us.unwrap_or(0.0))?,
             name: self.name,
-            objective_stretch: self.aim_stretch.unwrap_or(0.0),
-            late_weight: self.late_worth.unwrap_or(0.0),
-            priority_weight: self.points,
+            objective_stretch: self.objective_stretch.unwrap_or(0.0),
+            late_weight: self.late_weight.unwrap_or(0.0),
+            priority_weight: self.priority_weight,
             effect: match self.effect {
                 EffectFile::Retryable => Effect::Retryable,
                 EffectFile::Dedup => Effect::Dedup,
                 EffectFile::Fragile => Effect::Fragile,
             },
-            may_call: calls,
-            weight_without_call: worth_without_call,
+            may_call,
+            weight_without_call,
             is_retired: false,
         };
         ClassRecord::try_from(&class)
@@ -203,7 +209,7 @@
     Err(ValueError::new(field, format!("is {us}; it must be 0 us or more")))
 }
 
-/// Reads one file.
+/// The state of parsing one configuration file.
 struct FileParser<'a> {
     file: &'a str,
     lines: LineCounter<'a>,
@@ -214,7 +220,7 @@
         ParseError { file: self.file.to_owned(), line, reason: reason.into() }
     }
 
-    /// Deserializes a part of the text. `label` is put before the reason of an error; the error's line is that in the file.
+    /// Deserializes a part of the text. `label` precedes the reason of an error; the error's line is relative to the file.
     fn parse_part<'b, T: Deserialize<'b>>(&mut self, label: &str, part: &'b str) -> Result<T, ParseError> {
         serde_json::from_str(part).map_err(|error| {
             let first_line = self.lines.line_of(part);
--- a/src/config_store/follower.rs
+++ b/src/config_store/follower.rs
@@ -1,10 +1,10 @@
-//! How a node reaches the newest version: what it requests and when, and what it does with the responses.
+//! The state of a node that follows the newest version: when it sends which request, and how it processes responses.
 //!
-//! The driver passes in advertisements and responses, sends what [`Follower::poll_request`] returns, builds the settings of a
+//! The caller passes in advertisements and responses, sends what [`Follower::poll_request`] returns, builds the settings of a
 //! version that is ready on another thread, and then reports whether the version is in force ([`Follower::confirm_adopted`])
 //! or can't be ([`Follower::reject_ready`]).
 //!
-//! Invariants: the revision in force only grows; a version is put in force completely or not at all; at most one request is in
+//! Invariants: the revision in force only increases; a version is put in force completely or not at all; at most one request is in
 //! flight; the time between requests is bounded and jittered. There is no I/O and no clock: callers pass the time.
 
 use std::collections::VecDeque;
@@ -24,7 +24,7 @@
 const RECORDS_PER_STEP: usize = 256;
 /// Most changes that are accepted in one response; replicas send far fewer.
 const CHANGES_PER_RESPONSE_MAX: usize = 4_096;
-/// Largest exponent of the retry wait: [`FetchSchedule::retry_max`] applies long before.
+/// Largest exponent of the retry wait, against overflow: [`FetchSchedule::retry_max`] limits the wait long before.
 const RETRY_EXPONENT_MAX: u32 = 16;
 
 /// A request without a response so far.
@@ -32,11 +32,11 @@
 struct InFlightRequest {
     request: FetchRequest,
     times_out_at: Micros,
-    /// The newest advertised version when it was sent.
+    /// The newest advertised version when the request was sent.
     newest: Revision,
 }
 
-/// Changes of a response, and the version that they have led to so far.
+/// The remaining changes of a response, and the version after the changes applied so far.
 #[derive(Debug)]
 struct ChangesInProgress {
     version: ConfigVersion,
@@ -44,7 +44,7 @@
     transaction: Option<Box<Transaction>>,
 }
 
-/// The rest of a response that is being processed.
+/// The unprocessed part of a response.
 #[derive(Debug)]
 enum ResponseInProgress {
     Changes(ChangesInProgress),
@@ -61,7 +61,7 @@
     newest: Option<Advertised>,
     /// When the version in force was last known to be the newest.
     current_at: Option<Micros>,
-    /// When to send the next request, where something is missing.
+    /// When to send the next request, where a later version is known.
     request_at: Option<Micros>,
     in_flight: Option<InFlightRequest>,
     /// The newest advertised version when the response that is in progress or ready was requested.
@@ -70,18 +70,18 @@
     ready: Option<ConfigVersion>,
     /// Failed requests since the last that succeeded.
     consecutive_failures: u32,
-    /// Changes can't be applied or are retained no more: a snapshot has to be fetched.
+    /// Whether a snapshot has to be fetched, as changes can't be applied or are no longer retained.
     needs_snapshot: bool,
     assembler: Option<SnapshotAssembler>,
     /// This version and those before it are not put in force any more.
     rejected_up_to: Option<Revision>,
-    /// A version that is not put in force, as it is rejected or not the advertised one: later changes are applied to it.
+    /// A version that later changes are applied to, but that is not put in force: it is rejected or not the advertised one.
     intermediate: Option<ConfigVersion>,
     rejection: Option<VersionRejected>,
 }
 
 impl Follower {
-    /// A follower with that version in force. `jitter_seed` differs between processes, so that their requests spread.
+    /// A follower with a version in force. `jitter_seed` must differ between processes, so that their requests spread in time.
     #[must_use]
     pub fn new(schedule: FetchSchedule, jitter_seed: u64, in_force: ConfigVersion) -> Follower {
         Follower {
@@ -115,12 +115,13 @@
         Micros(((u128::from(bits) * u128::from(limit.0)) >> 64) as u64)
     }
 
-    /// A replica advertises an agreed version. One older than the newest known comes from a replica that lags, and is ignored.
+    /// Processes a replica's advertisement of an agreed version. A version older than the newest known one comes from a replica
+    /// that lags, and is ignored.
     pub fn receive_advertisement(&mut self, now: Micros, advertised: Advertised) {
         let in_force = self.in_force.revision();
         if advertised.revision == in_force {
             if advertised.digest != self.in_force.digest() {
-                // Revisions only grow, so only a snapshot of a later version repairs this.
+                // Revisions only increase, so only a snapshot of a later version repairs this.
                 let digest = self.in_force.digest();
                 self.rejection = Some(VersionRejected::Diverged(in_force, digest, advertised.digest));
                 self.needs_snapshot = true;
@@ -186,7 +187,7 @@
         }
     }
 
-    /// When [`Follower::poll_request`] has something to do next, if nothing is received before.
+    /// The time of the next call of [`Follower::poll_request`] that may have an effect, if nothing is received before.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Micros> {
         if let Some(in_flight) = self.in_flight {
@@ -196,7 +197,7 @@
         is_waiting.then(|| self.request_at.unwrap_or_default())
     }
 
-    /// The request failed, or its response did not help: the next one is sent later, with exponential backoff.
+    /// Ends a request that failed or whose response had no use, and schedules the next one with exponential backoff and jitter.
     fn fail_request(&mut self, now: Micros) {
         (self.in_flight, self.response) = (None, None);
         let factor = 1 << self.consecutive_failures.min(RETRY_EXPONENT_MAX);
@@ -206,7 +207,7 @@
         self.request_at = Some(now + half + self.draw_jitter(Micros(wait - half.0)));
     }
 
-    /// The response to the request in flight, or its failure.
+    /// Takes the response to the request in flight, or its failure.
     pub fn receive_response(&mut self, now: Micros, response: FetchResponse) -> FetchOutcome {
         let Some(in_flight) = self.in_flight.take() else { return FetchOutcome::Ignored };
         self.target = in_flight.newest;
@@ -232,7 +233,7 @@
                 FetchOutcome::RequestAgain
             }
             (_, FetchResponse::RetryAfter(wait)) => {
-                // The replica works but is overloaded: its own wait, bounded and jittered, and no backoff.
+                // The replica works but is overloaded: the wait is the one it asks for, bounded and jittered, without backoff.
                 let wait = wait.min(self.schedule.retry_max);
                 self.request_at = Some(now + wait + self.draw_jitter(self.schedule.retry_initial));
                 FetchOutcome::RequestAgain
@@ -270,9 +271,11 @@
         let mut transaction = match transaction {
             Some(transaction) => transaction,
             None => {
-                let Some(change) = remaining.pop_front() else { return self.reach(now, version) };
+                let Some(change) = remaining.pop_front() else {
+                    return self.handle_fetched_version(now, version);
+                };
                 if change.base < version.revision() {
-                    // It came twice, or an earlier response brought it.
+                    // The change is a duplicate, or an earlier response contained it.
                     return self.continue_changes(version, remaining, None);
                 }
                 match Transaction::begin(&version, change) {
@@ -288,7 +291,8 @@
         }
     }
 
-    /// A change can't be applied: the changes before it count, and then a snapshot has to be fetched.
+    /// Handles a change that can't be applied: the changes before it remain applied, and a snapshot is fetched next, unless
+    /// changes are merely missing.
     fn reject_change(&mut self, now: Micros, version: ConfigVersion, error: ChangeError) -> FetchOutcome {
         if !matches!(error, ChangeError::Gap { .. }) {
             let revision = Revision(version.revision().0.saturating_add(1));
@@ -297,20 +301,20 @@
         }
         self.fail_request(now);
         if version.revision() > self.changes_base().revision() {
-            self.reach(now, version)
+            self.handle_fetched_version(now, version)
         } else {
             FetchOutcome::RequestAgain
         }
     }
 
-    /// Changes or chunks have led to that version.
-    fn reach(&mut self, now: Micros, version: ConfigVersion) -> FetchOutcome {
+    /// Handles the version that results from a response's changes or chunks.
+    fn handle_fetched_version(&mut self, now: Micros, version: ConfigVersion) -> FetchOutcome {
         let revision = version.revision();
         if revision <= self.in_force.revision() {
             self.fail_request(now);
             return FetchOutcome::RequestAgain;
         }
-        // A version before the advertised one may be one that nodes can't work with: changes are only applied to it.
+        // Nodes may be unable to run with a version before the advertised one: it only serves as the base of later changes.
         let is_rejected = self.rejected_up_to.is_some_and(|rejected| revision <= rejected);
         if revision < self.target || is_rejected {
             if self.intermediate.as_ref().is_some_and(|known| known.revision() >= revision) {
@@ -342,7 +346,7 @@
         let revision = assembler.revision();
         match progress {
             Ok(AssemblyProgress::NextChunk(_)) if revision <= self.settled_revision() => {
-                // An old snapshot, from a replica that lags.
+                // The snapshot is outdated: the replica that sent it lags.
                 self.assembler = None;
                 self.fail_request(now);
                 FetchOutcome::RequestAgain
@@ -353,7 +357,7 @@
             }
             Ok(AssemblyProgress::Complete(version)) => {
                 (self.assembler, self.needs_snapshot) = (None, false);
-                self.reach(now, *version)
+                self.handle_fetched_version(now, *version)
             }
             Err(error) => self.reject_snapshot(now, revision, error),
         }
@@ -369,7 +373,7 @@
             self.assembler = None;
         }
         if error == DecodeError::InvalidVersion {
-            // The same chunks would fail again.
+            // The same chunks would fail again, so this version is not fetched again.
             self.rejected_up_to = self.rejected_up_to.max(revision.or(Some(self.target)));
         }
         self.rejection = Some(VersionRejected::Snapshot(error));
@@ -383,8 +387,8 @@
         self.ready.as_ref()
     }
 
-    /// The version that was ready is in force. Returns the previous one: after a snapshot the two share no records, so the
-    /// caller can drop it where that takes no time from requests.
+    /// Confirms that the version that was ready is in force. Returns the previous one: after a snapshot the two share no
+    /// records, so the caller can drop it on a thread that serves no requests.
     pub fn confirm_adopted(&mut self, now: Micros) -> Option<ConfigVersion> {
         let version = self.ready.take()?;
         if version.revision() <= self.in_force.revision() {
@@ -398,7 +402,7 @@
         Some(previous)
     }
 
-    /// The version that was ready can't be in force. It is not requested again; later ones are.
+    /// Records that the version that was ready can't be put in force. It is not requested again; later versions are.
     pub fn reject_ready(&mut self, now: Micros, reason: String) {
         let Some(version) = self.ready.take() else { return };
         let revision = version.revision();
@@ -408,7 +412,8 @@
         self.schedule_next(now);
     }
 
-    /// Schedules the next request: at once where a response brought only a part, otherwise jittered, if a version is newer.
+    /// Schedules the next request if a newer version is known: at once where a response contained only a part, otherwise with
+    /// jitter.
     fn schedule_next(&mut self, now: Micros) {
         if !self.is_behind() {
             self.request_at = None;
@@ -434,7 +439,7 @@
         self.newest
     }
 
-    /// The last version that could not be in force, until a later one is.
+    /// Why the last rejected version could not be put in force; `None` again once a later version is in force.
     #[must_use]
     pub fn rejection(&self) -> Option<&VersionRejected> {
         self.rejection.as_ref()
--- a/src/config_store/history.rs
+++ b/src/config_store/history.rs
@@ -1,5 +1,4 @@
-//! What a replica stores: the newest version, the versions before it with the changes between them, and how far each may
-//! spread.
+//! The versions that a replica stores: the newest, some before it with the changes between them, and the rollout decisions.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,30 +15,30 @@
 use super::transaction::ChangeSummary;
 use super::version::ConfigVersion;
 
-/// How many changes are retained for nodes that lag. The last change always is.
+/// Limits on the changes that are retained for nodes that lag. The last change is always retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionPolicy {
-    /// Most changes.
+    /// Most changes that are retained.
     pub changes: usize,
     /// Most encoded bytes of all changes together.
     pub bytes: usize,
 }
 
 impl Default for RetentionPolicy {
-    /// More than a day's changes, and the first one that brings all records.
+    /// Enough for more than a day's changes and for the first change, which sets all records.
     fn default() -> RetentionPolicy {
         RetentionPolicy { changes: 1_024, bytes: 8 << 20 }
     }
 }
 
-/// What leads from one version towards another.
+/// How to get from one version to a later one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangesSince {
     /// Nothing is missing.
     UpToDate,
     /// These changes in order, encoded by [`ChangeSet::encode`]; more may follow them.
     Changes(Vec<Bytes>),
-    /// The changes are retained no more: it takes a snapshot.
+    /// The changes are no longer retained: a snapshot is needed.
     SnapshotRequired,
     /// The version is later than the newest one here.
     Ahead,
@@ -48,7 +47,7 @@
 /// Why a version can't be restored.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum VersionUnavailable {
-    /// It is not retained.
+    /// The version is not retained.
     #[error("version {requested} is not kept; kept are {oldest} to {newest}")]
     NotRetained {
         /// The requested version.
@@ -66,40 +65,41 @@
 /// Why a rollout decision has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecisionRejected {
-    /// There is no such version yet.
+    /// The version is later than the newest one.
     #[error("there is no version {0}")]
     UnknownVersion(Revision),
-    /// All nodes may have it already.
-    #[error("version {0} is one that all nodes may have already")]
+    /// The version is approved already, or older than the approved one.
+    #[error("version {0} is already released to all nodes")]
     AlreadyApproved(Revision),
-    /// It is not retained.
-    #[error("version {0} is kept no more")]
+    /// The version is no longer retained.
+    #[error("version {0} is no longer kept")]
     NotRetained(Revision),
 }
 
-/// An earlier version, and the change that led on from it.
+/// An earlier version and the change that was applied to it.
 #[derive(Clone, Debug)]
 struct RetainedVersion {
     version: ConfigVersion,
-    /// Shared, as the history is cloned for each client that is served.
+    /// Shared, as the history is cloned for each request that a replica serves.
     change: Arc<ChangeSet>,
     encoded: Bytes,
 }
 
-/// The newest version and some before it. An earlier version costs what has changed since, as versions share their records.
+/// The newest version and some before it. Versions share unchanged records, so an earlier version costs only the memory of
+/// the records that have changed since.
 #[derive(Clone, Debug)]
 pub struct History {
     newest: ConfigVersion,
     retained: VecDeque<RetainedVersion>,
     retained_bytes: usize,
     retention: RetentionPolicy,
-    /// Stored by itself, as it may be older than all retained versions.
+    /// Stored separately, as it may be older than all retained versions.
     approved: ConfigVersion,
     halted: Option<RolloutHalted>,
 }
 
 impl History {
-    /// A history that begins with a version that all nodes may have.
+    /// A history that starts with an approved version.
     #[must_use]
     pub fn new(from: ConfigVersion, retention: RetentionPolicy) -> History {
         History {
@@ -118,18 +118,18 @@
         &self.approved
     }
 
-    /// The version that spreads no further, until a later one is approved.
+    /// The version whose rollout is halted, until that version or a later one is approved.
     #[must_use]
     pub fn halted(&self) -> Option<&RolloutHalted> {
         self.halted.as_ref()
     }
 
-    /// Restores the decisions that were read back from storage.
+    /// Restores the approved and the halted version as read from storage.
     pub fn restore_decisions(&mut self, approved: ConfigVersion, halted: Option<RolloutHalted>) {
         (self.approved, self.halted) = (approved, halted);
     }
 
-    /// Whether a version has the records of an earlier one: an operator has rolled back.
+    /// Whether a version has the same records as an earlier retained one, as after an operator's rollback.
     #[must_use]
     pub fn is_rollback(&self, revision: Revision) -> bool {
         let Some(digest) = self.version(revision).map(ConfigVersion::digest) else { return false };
@@ -137,7 +137,7 @@
         earlier.any(|retained| retained.version.digest() == digest)
     }
 
-    /// Checks whether a decision would have an effect. Returns the version that it is about.
+    /// Checks whether a decision would have an effect. Returns the version concerned.
     ///
     /// # Errors
     /// [`DecisionRejected`].
@@ -154,10 +154,10 @@
         }
     }
 
-    /// Applies an agreed decision. Returns the version that it is about.
+    /// Applies an agreed decision. Returns the version concerned.
     ///
     /// # Errors
-    /// [`DecisionRejected`]; nothing has changed then.
+    /// [`DecisionRejected`]; the history is then unchanged.
     pub fn apply_decision(&mut self, decision: &RolloutDecision) -> Result<Revision, DecisionRejected> {
         let revision = self.check_decision(decision)?;
         match decision {
@@ -181,7 +181,7 @@
     /// Applies a change to the newest version.
     ///
     /// # Errors
-    /// Why the newest version rejects it; nothing has changed then.
+    /// [`ChangeError`] where the newest version rejects the change; the history is then unchanged.
     pub fn apply(&mut self, change: &ChangeSet) -> Result<ChangeSummary, ChangeError> {
         let encoded = Bytes::from(change.encode()?);
         let version = self.newest.clone();
@@ -227,7 +227,7 @@
     }
 
     /// The changes that lead from one version towards another: up to `max_bytes` encoded bytes, and at least one change. It
-    /// does not compare their size with that of a snapshot; that is for the caller.
+    /// does not compare their size with that of a snapshot, which is the caller's task.
     #[must_use]
     pub fn changes_since(&self, from: Revision, to: Revision, max_bytes: usize) -> ChangesSince {
         let to = to.min(self.newest.revision());
@@ -250,7 +250,8 @@
         ChangesSince::Changes(changes)
     }
 
-    /// The change after which the newest version has the records of version `to`. It walks all records of both.
+    /// The change after which the newest version has the records of version `to`. The cost is proportional to all records of
+    /// both versions.
     ///
     /// # Errors
     /// [`VersionUnavailable`].
--- a/src/config_store/identity.rs
+++ b/src/config_store/identity.rs
@@ -17,7 +17,7 @@
 /// Most budgets: one for each tenant, and some for each tier.
 pub const BUDGETS_MAX: usize = 69_632;
 
-/// The number of a version. 0 is the version before all changes: it has no records, and the platform's file alone is in force.
+/// The number of a version. Version 0 precedes all changes: it has no records, and only the platform's file is in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Revision(pub u64);
 
--- a/src/config_store/range_check.rs
+++ b/src/config_store/range_check.rs
@@ -51,5 +51,5 @@
     if bytes <= max_bytes {
         return Ok(());
     }
-    Err(ValueError::new("name", format!("has {bytes} bytes; it may have {max_bytes}")))
+    Err(ValueError::new("name", format!("has {bytes} bytes; the maximum is {max_bytes}")))
 }
--- a/src/config_store/record.rs
+++ b/src/config_store/record.rs
@@ -20,7 +20,7 @@
 pub const FLEET_NAME_MAX: usize = 32;
 /// Longest name of a zone, bytes: `zone/` and the name together name the budget that limits the traffic on its return.
 pub const ZONE_NAME_MAX: usize = FLEET_NAME_MAX - 5;
-/// The tier that always exists; its address is in the platform's file.
+/// The name of the tier that always exists; its address is in the platform's file.
 pub const LEDGER: &str = "ledger";
 /// Longest duration in a record: a year.
 const DURATION_MAX: Micros = Micros(366 * 86_400 * 1_000_000);
@@ -36,7 +36,7 @@
     Fragile,
 }
 
-/// A class of requests, as [`ClassSettings`] has it.
+/// A class of requests; the stored form of [`ClassSettings`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassRecord {
     /// The name.
@@ -56,7 +56,7 @@
     /// Whether the request may run again.
     #[serde(with = "EncodedEffect")]
     pub effect: Effect,
-    /// How long after an arrival a repeat of the request may come.
+    /// How long after a request's arrival a repeat of it may arrive.
     #[serde(with = "micros")]
     pub repeat_window: Micros,
     /// Whether its requests may call dependencies.
@@ -65,7 +65,7 @@
     pub weight_without_call: Figure,
 }
 
-/// A tenant, as [`TenantSettings`] has it.
+/// A tenant; the stored form of [`TenantSettings`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantRecord {
     /// The name.
@@ -79,7 +79,7 @@
 pub struct Endpoint {
     /// The address.
     pub address: SocketAddr,
-    /// The zone, if it has one. A zone without a record counts as none, as in the file of tiers.
+    /// The endpoint's zone, if any. A zone without a record is treated as none, as in the file of tiers.
     pub zone: Option<Name>,
 }
 
@@ -181,7 +181,7 @@
     pub capacity: u32,
     /// Minimum share of each node, whatever its demand; at most the capacity.
     pub min_share: u32,
-    /// Whether zones that are out of service reduce the capacity by their part.
+    /// Whether zones that are out of service reduce the capacity by their share.
     pub scales_with_zones: bool,
 }
 
@@ -231,7 +231,7 @@
         RecordKey { kind: self.kind(), name: self.name().clone() }
     }
 
-    /// The key of the record that it refers to and can't be without. [`LEDGER`] always exists and counts as no reference.
+    /// The key of the record that this one requires to exist. [`LEDGER`] always exists and is not counted as a reference.
     pub(super) fn reference(&self) -> Option<RecordKey> {
         let Record::Budget(budget) = self else { return None };
         let key = budget.scope.key();
@@ -239,7 +239,7 @@
         (!is_ledger).then_some(key)
     }
 
-    /// The key of a record whose values are in their ranges.
+    /// Checks the values and returns the record's key.
     pub(super) fn checked_key(&self) -> Result<RecordKey, ChangeError> {
         let key = self.key();
         match self.check() {
@@ -248,17 +248,17 @@
         }
     }
 
-    /// Its part of a version's digest. `scratch` only spares an allocation.
+    /// The record's part of a version's digest. `scratch` is a reusable buffer that saves an allocation.
     pub(super) fn digest(&self, scratch: &mut Vec<u8>) -> Digest {
         scratch.clear();
-        // Encoding to memory can't fail; a record that could not be encoded would count as empty in all processes alike.
+        // Encoding to memory can't fail; a record that could not be encoded would count as empty in every process.
         if let Ok(bytes) = postcard::to_extend(self, std::mem::take(scratch)) {
             *scratch = bytes;
         }
         Digest::of_bytes(scratch)
     }
 
-    /// Checks its values: a class and a tenant against the ranges of [`crate::Settings::validate`], the others against those
+    /// Checks the values: a class and a tenant against the ranges of [`crate::Settings::validate`], the others against those
     /// of the operators' files.
     ///
     /// # Errors
@@ -363,15 +363,16 @@
     fn check_endpoints(&self) -> Result<(), ValueError> {
         let is_ledger = self.name.as_str() == LEDGER;
         if is_ledger && !self.endpoints.is_empty() {
-            return Err(ValueError::new("endpoints", "are where the platform's file says; leave them out"));
+            return Err(ValueError::new("endpoints", "are set by the platform's file; leave them out"));
         }
         if !is_ledger && !(1..=ENDPOINTS_MAX).contains(&self.endpoints.len()) {
-            let reason = format!("are {}; there must be 1 to {ENDPOINTS_MAX}", self.endpoints.len());
+            let reason =
+                format!("are {} in number; there must be 1 to {ENDPOINTS_MAX}", self.endpoints.len());
             return Err(ValueError::new("endpoints", reason));
         }
         for (index, endpoint) in self.endpoints.iter().enumerate() {
             if self.endpoints[..index].iter().any(|other| other.address == endpoint.address) {
-                return Err(ValueError::new("endpoints", format!("have {} twice", endpoint.address)));
+                return Err(ValueError::new("endpoints", format!("contain {} twice", endpoint.address)));
             }
         }
         Ok(())
@@ -410,7 +411,10 @@
         check_count("floor", self.min_share, 0..=self.capacity)?;
         match (self.unit, &self.scope) {
             (BudgetUnit::InFlight { .. }, BudgetScope::Tenant(_) | BudgetScope::Retries(_)) => {
-                Err(ValueError::new("counts", "are slots; a member's quota and further tries count starts"))
+                Err(ValueError::new(
+                    "counts",
+                    "are slots; a budget for a member's quota or for further tries must count starts",
+                ))
             }
             (BudgetUnit::InFlight { max_duration }, BudgetScope::Tier(_)) => {
                 let range = Micros::from_millis(2)..=Micros::from_millis(3_600_000);
--- a/src/config_store/rollout_decision.rs
+++ b/src/config_store/rollout_decision.rs
@@ -1,4 +1,4 @@
-//! What replicas agree on about how far a version may spread.
+//! Decisions on the rollout of a version, which the replicas agree on.
 //!
 //! The canary rollout proposes these decisions and the version history applies them, so both modules depend on this one.
 
@@ -13,7 +13,7 @@
 /// The JSON names are those that `config where --json` prints; the order of the variants is part of the log's format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CanaryFailure {
-    /// The node can't put the version in force; its reason.
+    /// The node can't put the version in force; the reason that the node reported.
     #[serde(rename = "Refused")]
     Rejected(String),
     /// The node has not reported for as long as [`super::CanaryPolicy::report_timeout`].
@@ -24,10 +24,10 @@
     Restarted,
 }
 
-/// A version that spreads no further, and the canary nodes that failed with it.
+/// A version whose rollout is halted, and the canary nodes that failed with it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutHalted {
-    /// The version.
+    /// The halted version.
     pub revision: Revision,
     /// The failure of each canary node, by the node's name.
     #[serde(rename = "harm")]
@@ -37,14 +37,14 @@
 /// A decision about a version. The order of the variants is part of the log's format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutDecision {
-    /// All nodes may have the version: the canary nodes have run with it, or an operator has released it.
+    /// All nodes may have the version: the canary nodes have passed probation with it, or an operator has released it.
     Approved(Revision),
-    /// The version spreads no further.
+    /// The version is not sent to further nodes.
     Halted(RolloutHalted),
 }
 
 impl RolloutDecision {
-    /// The version that it is about.
+    /// The version that the decision concerns.
     #[must_use]
     pub fn revision(&self) -> Revision {
         match self {
--- a/src/config_store/snapshot_codec.rs
+++ b/src/config_store/snapshot_codec.rs
@@ -2,7 +2,7 @@
 //!
 //! A chunk is a magic number, a format version, a flag for the last chunk, the version's revision and digest, the chunk's
 //! number, the unpacked length, the records (postcard, in order, deflated) and a checksum over all of it. Each chunk is
-//! checked by itself: a damaged one is requested again, and the others stay.
+//! checked separately: a damaged chunk is requested again, and the others are kept.
 
 use std::io::{Read, Write};
 
@@ -18,7 +18,7 @@
 use super::record::Record;
 use super::version::ConfigVersion;
 
-/// Most records in a chunk: it is decoded in about a millisecond.
+/// Most records in a chunk: such a chunk is decoded in about 1 ms.
 pub const CHUNK_RECORDS: usize = 512;
 /// Largest encoded chunk, bytes.
 pub const CHUNK_BYTES_MAX: usize = 160 << 10;
@@ -27,7 +27,7 @@
 /// Largest record, bytes: a tier with all its endpoints.
 const RECORD_BYTES_MAX: usize = 32 << 10;
 const MAGIC: [u8; 2] = *b"hc";
-/// The only format version so far.
+/// The format version in the header of a chunk.
 const FORMAT_VERSION: u8 = 1;
 /// Magic number, format version, last flag, revision, digest, chunk number, unpacked length.
 const HEADER_BYTES: usize = 2 + 1 + 1 + 8 + 32 + 4 + 4;
@@ -71,13 +71,13 @@
 }
 
 impl SnapshotWriter {
-    /// A writer for that version; it holds the version, so later changes don't affect it.
+    /// A writer for a version. The writer holds a clone, so later changes don't affect the snapshot.
     #[must_use]
     pub fn new(version: &ConfigVersion) -> SnapshotWriter {
         SnapshotWriter { version: version.clone(), last_key: None, chunks: Vec::new() }
     }
 
-    /// Encodes the next chunk. Returns the snapshot after the last one; it must not be called again then.
+    /// Encodes the next chunk. Returns the snapshot with the last chunk; must not be called after that.
     pub fn write_chunk(&mut self) -> Option<Snapshot> {
         let mut unpacked = Vec::new();
         let mut records = self.version.records_after(self.last_key.as_ref()).peekable();
@@ -115,7 +115,7 @@
     }
 }
 
-/// How far a version is assembled.
+/// The state of the assembly after an accepted chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AssemblyProgress {
     /// The number of the next chunk.
@@ -127,13 +127,13 @@
 /// Assembles a version from its chunks.
 #[derive(Debug, Default)]
 pub struct SnapshotAssembler {
-    /// Of the version that the chunks so far belong to.
+    /// The version that the accepted chunks belong to; `None` before the first chunk.
     identity: Option<SnapshotIdentity>,
     next_chunk: u32,
     version: ConfigVersion,
 }
 
-/// What all chunks of a snapshot have in common.
+/// Identifies a snapshot; all its chunks carry the same value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct SnapshotIdentity {
     revision: Revision,
@@ -170,7 +170,7 @@
         Ok(Chunk { is_last: header[3] == 1, snapshot, number: u32_at(44), unpacked_len, packed })
     }
 
-    /// The unpacked records, if they have the length that the header says.
+    /// The unpacked records, if they have the length that the header states.
     fn unpack(&self) -> Result<Vec<u8>, DecodeError> {
         let mut unpacked = Vec::with_capacity(self.unpacked_len);
         let limit = self.unpacked_len as u64 + 1;
@@ -200,7 +200,7 @@
             remaining = rest;
         }
         if count == 0 && !self.is_last {
-            // Chunks without records could go on without end.
+            // An endless sequence of empty chunks would never complete the snapshot.
             return Err(DecodeError::Malformed);
         }
         Ok(())
@@ -214,7 +214,7 @@
         SnapshotAssembler::default()
     }
 
-    /// The version that the chunks so far belong to; `None` before the first chunk.
+    /// The revision that the accepted chunks belong to; `None` before the first chunk.
     #[must_use]
     pub fn revision(&self) -> Option<Revision> {
         self.identity.map(|identity| identity.revision)
@@ -229,7 +229,7 @@
     /// Adds the next chunk. After the last one the assembler is empty again.
     ///
     /// # Errors
-    /// Why the chunk is rejected; the chunks before it stay.
+    /// [`DecodeError`]: why the chunk is rejected; the chunks before it are kept.
     pub fn add_chunk(&mut self, chunk: &[u8]) -> Result<AssemblyProgress, DecodeError> {
         let chunk = Chunk::decode(chunk)?;
         let is_other_snapshot = self.identity.is_some_and(|identity| identity != chunk.snapshot);
--- a/src/config_store/transaction.rs
+++ b/src/config_store/transaction.rs
@@ -7,7 +7,7 @@
 use super::identity::{RecordKey, RecordKind, Revision};
 use super::version::ConfigVersion;
 
-/// What a change did.
+/// What an applied change did.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeSummary {
     /// The resulting version.
@@ -28,7 +28,7 @@
 }
 
 /// The next piece of work, with an index into the change's lists. Removals come first, then the records that are set. Both
-/// are then checked for references, as a change may bring a budget before its tier.
+/// are then checked for references, as a change may list a budget before its tier.
 #[derive(Clone, Copy, Debug)]
 enum Stage {
     Remove(usize),
@@ -49,7 +49,7 @@
 }
 
 impl Transaction {
-    /// Begins to apply a change to a version. It checks what can be checked without the records.
+    /// Begins to apply a change to a version. Checks all that does not depend on the records.
     ///
     /// # Errors
     /// [`ChangeError::Gap`], [`ChangeError::Outdated`], [`ChangeError::Empty`], [`ChangeError::TooLarge`],
@@ -79,7 +79,7 @@
     /// Processes up to `records` records. Returns the resulting version once all are processed, `None` before.
     ///
     /// # Errors
-    /// Why the change is rejected as a whole.
+    /// [`ChangeError`]: why the change is rejected; no part of it is applied then.
     pub fn step(&mut self, records: usize) -> Result<Option<(ConfigVersion, ChangeSummary)>, ChangeError> {
         for _ in 0..records.max(1) {
             if self.process_record()? {
@@ -112,7 +112,7 @@
         (std::mem::take(&mut self.result), summary)
     }
 
-    /// Processes one record; whether all are processed.
+    /// Processes one record and returns whether all are processed.
     fn process_record(&mut self) -> Result<bool, ChangeError> {
         match self.stage {
             Stage::Remove(index) => self.remove_record(index)?,
@@ -164,7 +164,7 @@
         Ok(())
     }
 
-    /// Checks that nothing refers to a removed record; whether that was the last one.
+    /// Checks that nothing refers to a removed record. Returns whether all removed records are checked.
     fn check_removed(&mut self, index: usize) -> Result<bool, ChangeError> {
         let Some(key) = self.change.remove.get(index) else { return Ok(true) };
         if let Some(references) = self.result.reference_count(key) {
@@ -176,10 +176,11 @@
 }
 
 impl ConfigVersion {
-    /// Applies a change, completely or not at all. The cost follows the records in it, times the logarithm of all records.
+    /// Applies a change, completely or not at all. The cost is the number of records in it times the logarithm
+    /// of the number of all records.
     ///
     /// # Errors
-    /// Why it is rejected; this version stays as it was then.
+    /// [`ChangeError`]: why the change is rejected; this version is then unchanged.
     pub fn apply(&mut self, change: &ChangeSet) -> Result<ChangeSummary, ChangeError> {
         let mut transaction = Transaction::begin(self, change.clone())?;
         loop {
--- a/src/config_store/value.rs
+++ b/src/config_store/value.rs
@@ -1,4 +1,4 @@
-//! Names and figures of records. They are checked where they are made or decoded, so that their users need not check them.
+//! Names and numbers of records. They are validated when they are created or decoded, so other code need not check them.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -19,7 +19,7 @@
 pub struct Name(Arc<str>);
 
 impl Name {
-    /// The name with that text.
+    /// Creates a name from its text.
     ///
     /// # Errors
     /// [`ValueError`] where it is empty, too long or has control characters.
@@ -36,12 +36,12 @@
         Ok(Name(text.into()))
     }
 
-    /// A value that sorts before all names and is no valid name itself.
+    /// An empty value that sorts before all names. It is not a valid name.
     pub(super) fn lower_bound() -> Name {
         Name("".into())
     }
 
-    /// The text.
+    /// The text of the name.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
@@ -86,7 +86,7 @@
 pub struct Figure(f64);
 
 impl Figure {
-    /// The figure with that value.
+    /// Creates a figure from its value.
     ///
     /// # Errors
     /// [`ValueError`] where it is NaN, negative or above [`FIGURE_MAX`].
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The value.
+    /// The value, 0 to [`FIGURE_MAX`].
     #[must_use]
     pub fn get(self) -> f64 {
         self.0
--- a/src/config_store/version.rs
+++ b/src/config_store/version.rs
@@ -13,21 +13,21 @@
 
 /// One version of all records.
 ///
-/// A clone shares all records and costs a few words. After a change two versions differ in the changed records and some 15
-/// small tree nodes for each of them, so a reader may hold a version for as long as it likes.
+/// A clone shares all records and copies a few machine words. After a change two versions differ in the changed records and some 15
+/// small tree nodes for each of them, so a reader may hold a version for any length of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigVersion {
     revision: Revision,
     digest: Digest,
     records: RedBlackTreeMapSync<RecordKey, Record>,
-    /// How many records refer to a key and can't be without it: a removal is checked without a walk over all records.
+    /// The number of records that require a key to exist. With it, a removal is checked without a scan of all records.
     reference_counts: RedBlackTreeMapSync<RecordKey, u32>,
     counts: [usize; RecordKind::ALL.len()],
     /// Budgets whose capacity scales with the zones.
     zone_scaled_budgets: usize,
 }
 
-/// The lower bound of a kind's keys: names are never empty.
+/// A key that sorts before all keys of a kind, as a valid name is never empty.
 fn lower_bound_of(kind: RecordKind) -> RecordKey {
     RecordKey { kind, name: Name::lower_bound() }
 }
@@ -63,7 +63,7 @@
         self.counts[kind as usize]
     }
 
-    /// One record.
+    /// The record with this key, if the version has it.
     #[must_use]
     pub fn get(&self, key: &RecordKey) -> Option<&Record> {
         self.records.get(key)
@@ -101,7 +101,7 @@
         Ok(ConfigVersion { revision, ..self.clone() })
     }
 
-    /// How many records refer to that key; `None` where none does.
+    /// The number of records that refer to this key; `None` where there are none.
     pub(super) fn reference_count(&self, key: &RecordKey) -> Option<u32> {
         self.reference_counts.get(key).copied()
     }
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// Checks what depends on the numbers of records alone.
+    /// Checks the limits that depend only on the number of records of each kind.
     pub(super) fn check_limits(&self) -> Result<(), ChangeError> {
         for kind in RecordKind::ALL {
             let (count, max) = (self.count(kind), kind.max_records());
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// Adds a record, or replaces the one under its key. `scratch` only spares an allocation.
+    /// Adds a record, or replaces the one under its key. `scratch` is a reusable buffer that saves an allocation.
     pub(super) fn insert(&mut self, key: RecordKey, record: &Record, scratch: &mut Vec<u8>) {
         self.remove(&key, scratch);
         self.digest = self.digest.plus(record.digest(scratch));
@@ -148,7 +148,7 @@
         self.records.insert_mut(key, record.clone());
     }
 
-    /// Removes a record; whether it was there.
+    /// Removes a record and returns whether it existed.
     pub(super) fn remove(&mut self, key: &RecordKey, scratch: &mut Vec<u8>) -> bool {
         let Some(removed) = self.records.get(key) else { return false };
         self.digest = self.digest.minus(removed.digest(scratch));
@@ -163,16 +163,16 @@
         self.records.remove_mut(key)
     }
 
-    /// A version without records, to be filled with those of a snapshot in their order.
+    /// A version without records, which [`Self::push_in_order`] fills with the records of a snapshot.
     pub(super) fn empty_at(revision: Revision) -> ConfigVersion {
         ConfigVersion { revision, ..ConfigVersion::default() }
     }
 
     /// Adds the next record of a snapshot. Records that others refer to come first in the order of kinds, so each record is
-    /// checked against those that are there already.
+    /// checked against the records added before it.
     ///
     /// # Errors
-    /// Why the record can't be in the version.
+    /// [`ChangeError`] where the record is invalid, out of order, refers to a missing record, or exceeds a limit.
     pub(super) fn push_in_order(
         &mut self,
         record: &Record,
@@ -187,10 +187,11 @@
         self.check_limits()
     }
 
-    /// The settings that a node works with: the classes and tenants of this version, by name, and everything else from the
+    /// The settings that a node runs with: the classes and tenants of this version, by name, and everything else from the
     /// platform's file. Without a class, the file's classes and tenants stay.
     ///
-    /// It walks all classes and tenants: a node in service calls it on another thread than the one that serves.
+    /// The cost is proportional to the number of classes and tenants, so a node in service calls this on a thread that
+    /// serves no requests.
     #[must_use]
     pub fn settings(&self, base: &Settings) -> Settings {
         if self.count(RecordKind::Class) == 0 {
@@ -202,7 +203,7 @@
             match record {
                 Record::Class(class) => classes.push(class.settings()),
                 Record::Tenant(tenant) => tenants.push(tenant.settings()),
-                // Classes and tenants come first.
+                // Classes and tenants come before all other kinds.
                 _ => break,
             }
         }
