--- a/src/runtime/replica/bootstrap.rs
+++ b/src/runtime/replica/bootstrap.rs
@@ -1,7 +1,7 @@
-//! The one bootstrap of a fleet's ledger, at which all replicas are present.
+//! The bootstrap of a fleet's ledger, which happens once and needs all replicas.
 //!
-//! A replica with an empty file joins that bootstrap and takes part in nothing before it: one whose disk was lost has
-//! forgotten its votes, and the others, which have not, do not bootstrap a second time.
+//! A replica with an empty file neither votes nor stores entries before it joins the bootstrap. A replica whose disk was lost
+//! has also lost its votes, so it must stay out: the other replicas, which still have their files, refuse a second bootstrap.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use super::replica_id;
 use super::server::ReplicaServer;
 
-/// Between two attempts to bootstrap.
+/// Interval between two attempts to bootstrap.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Time limit for another replica's answer.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(1);
@@ -27,7 +27,7 @@
     loop {
         let bootstrap_id = match server.log_store.bootstrap_id() {
             Ok(bootstrap_id) => bootstrap_id,
-            Err(e) => return warn!("disk: {e}"),
+            Err(e) => return warn!("bootstrap: can't read the replica's file: {e}"),
         };
         if server.raft.is_initialized().await.unwrap_or(true) {
             return;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Asks all other replicas to join; how many do.
+/// Asks all other replicas to join and returns how many do.
 async fn invite_replicas(server: &ReplicaServer, bootstrap_id: u64, is_warned: &mut bool) -> usize {
     let mut joined = 0;
     for other in server.fleet.keepers.keys().filter(|name| **name != server.name) {
@@ -64,7 +64,7 @@
     joined
 }
 
-/// Writes the first log with all replicas as voters.
+/// Initializes the log with all replicas as voters.
 async fn initialize(server: &ReplicaServer, bootstrap_id: u64) {
     let replicas: BTreeMap<u64, BasicNode> = server
         .fleet
@@ -78,6 +78,6 @@
             Ok(()) => info!("bootstrapped the ledger with {count} replicas"),
             Err(e) => warn!("bootstrap: {e}"),
         },
-        Err(e) => warn!("disk: {e}"),
+        Err(e) => warn!("bootstrap: can't write the replica's file: {e}"),
     }
 }
--- a/src/runtime/replica/client.rs
+++ b/src/runtime/replica/client.rs
@@ -1,4 +1,4 @@
-//! Requests of operators' commands about the configuration, to whichever replica leads.
+//! The client of operators' commands: sends configuration requests to the leading replica.
 
 use std::cell::Cell;
 use std::io::ErrorKind;
@@ -19,59 +19,59 @@
 use crate::fleet::compressed_change::CompressedChange;
 pub use crate::fleet::version_status::{LaggingNode, RolloutStatus};
 
-/// Time limit for one replica's answer; it waits for a majority within it.
+/// Time limit for one replica's response, including the replica's wait for a majority.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a leader is searched for: an election takes 2 s at the most.
+/// Time limit of the search for a leader; an election takes at most 2 s.
 const LEADER_SEARCH_TIMEOUT: Duration = Duration::from_secs(8);
-/// Between two attempts.
+/// Interval between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// Up to whatever version there is.
+/// Upper bound of a request that includes the newest version, whatever its number.
 const NEWEST: Revision = Revision(u64::MAX);
-/// Bytes of an unexpected response that its error shows.
+/// Most bytes of an unexpected response that its error shows.
 const SHOWN_BYTES_MAX: usize = 80;
 
 /// Why a command was not carried out.
 #[derive(Debug, Error)]
 pub enum ReplicaClientError {
-    /// No replica leads, or none is reached; what the last one tried said.
+    /// No leading replica was reached; the reason from the last replica tried.
     #[error("no keeper that leads is reached ({0}); nothing was changed")]
     NoLeader(String),
-    /// The replicas' file of the fleet has no configuration table.
+    /// The fleet's file of the replica has no `[catalog]` table.
     #[error("the keepers' file of the fleet has no [catalog]: they hold no configuration")]
     Disabled,
-    /// The request is refused, or the response is of another kind.
+    /// The replica refused the request, or its response does not match the request.
     #[error("{0}")]
     Refused(String),
-    /// No majority has answered in time.
+    /// The response was lost or not sent in time, so the change may or may not be committed.
     #[error(
         "not known whether it was agreed: no majority has answered in time; look at `holdlift config history`"
     )]
     Unknown,
-    /// What was received can't be decoded.
-    #[error("what a keeper sent can't be read: {0}")]
+    /// A received change or snapshot can't be decoded.
+    #[error("the response of a keeper can't be decoded: {0}")]
     Malformed(#[from] DecodeError),
-    /// A received change does not fit the version before it, or a change to send can't be encoded.
-    #[error("what a keeper sent does not fit: {0}")]
+    /// A received change can't be applied to the version before it, or a change to send can't be encoded.
+    #[error("a configuration change can't be applied or encoded: {0}")]
     Inapplicable(#[from] ChangeError),
 }
 
-/// A command's requests to the replicas.
+/// Sends a command's requests to the replicas of a fleet.
 pub struct ReplicaClient {
     replicas: Vec<(String, SocketAddr)>,
-    /// Index of the replica that answered last.
+    /// Index of the replica that answered last; tried first.
     preferred: Cell<usize>,
 }
 
-/// What to do after one replica's answer.
+/// The result of a request to one replica.
 enum Attempt {
-    /// It leads, and answers.
+    /// The replica leads, and answers.
     Answered(ConfigResponse),
-    /// Another replica is tried, this one if it is known to lead; the reason.
+    /// Another replica is to be tried: `leader` where the replica named one. `reason` says why.
     TryNext { leader: Option<String>, reason: String },
 }
 
 impl ReplicaClient {
-    /// For the replicas of the fleet's file.
+    /// A client for the replicas of the fleet's file.
     #[must_use]
     pub fn new(fleet: &Fleet) -> ReplicaClient {
         let replicas = fleet
@@ -86,7 +86,7 @@
         &self,
         request: impl Fn() -> ConfigRequest,
     ) -> Result<ConfigResponse, ReplicaClientError> {
-        let (start, mut last_reason) = (Instant::now(), String::from("none tried"));
+        let (start, mut last_reason) = (Instant::now(), String::from("no replica was tried"));
         let mut index = self.preferred.get();
         while start.elapsed() < LEADER_SEARCH_TIMEOUT {
             let (name, address) = &self.replicas[index % self.replicas.len().max(1)];
@@ -111,7 +111,7 @@
     /// # Errors
     /// [`ReplicaClientError`].
     pub async fn fetch_latest(&self) -> Result<ConfigVersion, ReplicaClientError> {
-        // Finds the leader; what follows goes to that replica.
+        // Finds the leader, to which the following requests are then sent.
         self.request_leader(|| ConfigRequest::Head).await?;
         let mut version = self.fetch_snapshot().await?;
         while let ConfigResponse::Changes(changes) =
@@ -125,16 +125,16 @@
     }
 
     async fn fetch_snapshot(&self) -> Result<ConfigVersion, ReplicaClientError> {
-        let (mut assembler, mut from) = (SnapshotAssembler::new(), 0);
+        let (mut assembler, mut from_chunk) = (SnapshotAssembler::new(), 0);
         loop {
-            let of = assembler.revision();
-            let request = || ConfigRequest::Chunks { of, from, above: None, to: NEWEST };
+            let revision = assembler.revision();
+            let request = || ConfigRequest::Chunks { revision, from_chunk, above: None, to: NEWEST };
             match self.request_leader(request).await? {
                 ConfigResponse::Chunks(chunks) => {
                     let mut complete = None;
                     for chunk in &chunks {
                         match assembler.add_chunk(chunk)? {
-                            AssemblyProgress::NextChunk(next) => from = next,
+                            AssemblyProgress::NextChunk(next) => from_chunk = next,
                             AssemblyProgress::Complete(version) => complete = Some(*version),
                         }
                     }
@@ -142,12 +142,12 @@
                         return Ok(version);
                     }
                 }
-                _ => (assembler, from) = (SnapshotAssembler::new(), 0),
+                _ => (assembler, from_chunk) = (SnapshotAssembler::new(), 0),
             }
         }
     }
 
-    /// Has a change committed by the leader; the version that it made.
+    /// Has the leader commit a change, and returns the resulting version's number.
     ///
     /// # Errors
     /// [`ReplicaClientError`].
@@ -156,33 +156,37 @@
         committed_revision(self.request_leader(|| ConfigRequest::Propose(compressed.clone())).await?)
     }
 
-    /// Has the records of an earlier version committed as a new one; its number.
+    /// Has the leader commit the records of an earlier version as a new version, and returns its number.
     ///
     /// # Errors
     /// [`ReplicaClientError`].
     pub async fn rollback(&self, to: Revision, by: &ChangeAuthor) -> Result<Revision, ReplicaClientError> {
-        // Finds a leader first: with a request to one that is gone, the outcome would be unknown.
+        // Finds the leader first: the outcome of a write sent to a replica that has stopped would be unknown.
         self.request_leader(|| ConfigRequest::Head).await?;
         let signature = signature(by);
         committed_revision(self.request_leader(|| ConfigRequest::Rollback(to, signature.clone())).await?)
     }
 
-    /// Releases a version to all nodes, whatever the first nodes reported.
+    /// Releases a version to all nodes, whatever the canary nodes reported.
     ///
     /// # Errors
     /// [`ReplicaClientError`].
-    pub async fn release(&self, of: Revision, by: &ChangeAuthor) -> Result<Revision, ReplicaClientError> {
+    pub async fn release(
+        &self,
+        revision: Revision,
+        by: &ChangeAuthor,
+    ) -> Result<Revision, ReplicaClientError> {
         self.request_leader(|| ConfigRequest::Head).await?;
         let signature = signature(by);
-        committed_revision(self.request_leader(|| ConfigRequest::Release(of, signature.clone())).await?)
+        committed_revision(self.request_leader(|| ConfigRequest::Release(revision, signature.clone())).await?)
     }
 
-    /// The last versions, `most` at the most, the newest last, and the oldest that a rollback can return to.
+    /// The last versions, at most `limit`, the newest last, and the oldest version that a rollback can restore.
     ///
     /// # Errors
     /// [`ReplicaClientError`].
-    pub async fn history(&self, most: u32) -> Result<(Vec<VersionSummary>, Revision), ReplicaClientError> {
-        match self.request_leader(|| ConfigRequest::History(most)).await? {
+    pub async fn history(&self, limit: u32) -> Result<(Vec<VersionSummary>, Revision), ReplicaClientError> {
+        match self.request_leader(|| ConfigRequest::History(limit)).await? {
             ConfigResponse::History(rows, oldest) => Ok((rows, oldest)),
             other => Err(unexpected_response(&other)),
         }
@@ -212,13 +216,15 @@
     match response {
         Ok(ReplicaResponse::Config(
             ConfigResponse::NotLeader(leader) | ConfigResponse::Head { leader, leads: false, .. },
-        )) => Ok(try_next(leader, "does not lead a majority")),
-        Ok(ReplicaResponse::Config(ConfigResponse::Busy)) => Ok(try_next(None, "too much to do")),
+        )) => Ok(try_next(leader, "this replica is not a leader confirmed by a majority")),
+        Ok(ReplicaResponse::Config(ConfigResponse::Busy)) => {
+            Ok(try_next(None, "this replica serves too many requests"))
+        }
         Ok(ReplicaResponse::Config(ConfigResponse::Disabled)) => Err(ReplicaClientError::Disabled),
         Ok(ReplicaResponse::Config(response)) => Ok(Attempt::Answered(response)),
         Ok(ReplicaResponse::Rejected(reason)) => Ok(try_next(None, &reason)),
-        Ok(_) => Ok(try_next(None, "another kind of reply")),
-        // Whether the request was committed before the connection broke is not known.
+        Ok(_) => Ok(try_next(None, "the response does not match the request")),
+        // The request may have been committed before the connection failed.
         Err(e) if is_write && e.kind() != ErrorKind::ConnectionRefused => Err(ReplicaClientError::Unknown),
         Err(e) => Ok(try_next(None, &e.to_string())),
     }
@@ -240,5 +246,5 @@
 fn unexpected_response(response: &ConfigResponse) -> ReplicaClientError {
     let text = format!("{response:?}");
     let end = text.floor_char_boundary(SHOWN_BYTES_MAX);
-    ReplicaClientError::Refused(format!("a keeper answered something else: {}", &text[..end]))
+    ReplicaClientError::Refused(format!("unexpected response from a keeper: {}", &text[..end]))
 }
--- a/src/runtime/replica/config_service.rs
+++ b/src/runtime/replica/config_service.rs
@@ -1,8 +1,8 @@
-//! The configuration on the side of a replica: has changes committed while this replica leads, and serves the versions.
+//! The configuration service of a replica: proposes changes while this replica leads, and serves the versions.
 //!
-//! Any replica may serve a version and name the one that all nodes may have: what it has applied is agreed, revisions only
-//! grow, and no node returns to an earlier one because a replica lags. Only the leader proposes changes and decides which nodes
-//! have a version before it is known to be good.
+//! Any replica may serve versions and name the approved one: what it has applied is agreed, revisions only increase, and no
+//! node returns to an earlier version because a replica lags. Only the leader proposes changes and decides which nodes get a
+//! version before it is approved.
 
 mod rollout;
 mod serving;
@@ -28,7 +28,7 @@
 
 pub(super) use rollout::{publish_versions, run_rollouts};
 
-/// What a replica has of the configuration besides the replicated state.
+/// The state of the configuration service that is not replicated.
 #[derive(Default)]
 pub(super) struct ConfigService {
     version_statuses: Mutex<VersionStatusTable>,
@@ -36,21 +36,21 @@
     node_addresses: Mutex<HashMap<LeaseHolderId, SocketAddr>>,
     /// Present while this replica leads.
     canary_rollout: Mutex<Option<CanaryRollout>>,
-    /// The last snapshots that were compressed. Locked while one is compressed, so that further requests wait for it.
+    /// The most recently compressed snapshots. Locked while one is compressed, so that other requests wait for the result.
     snapshots: tokio::sync::Mutex<VecDeque<Arc<Snapshot>>>,
-    /// One change is in flight at a time: the next one is checked against the version that it made.
+    /// Held while a change is proposed: the next change is checked against the resulting version.
     proposing: tokio::sync::Mutex<()>,
 }
 
-/// What became of a proposed change or decision.
+/// The outcome of a proposed change or decision.
 enum CommitOutcome {
-    /// It is committed, as this version.
+    /// The entry is committed; the version made or concerned.
     Applied(Revision),
-    /// It was committed and had no effect; the reason.
+    /// The entry is committed and had no effect; the reason.
     Rejected(String),
     /// This replica does not lead.
     NotLeader,
-    /// It was not committed within [`PROPOSAL_TIMEOUT`]; it may be later.
+    /// The entry was not committed within [`PROPOSAL_TIMEOUT`]; it may still be committed later.
     Unknown,
 }
 
@@ -63,29 +63,29 @@
         self.state().history().clone()
     }
 
-    /// The newest version here.
+    /// The newest version that this replica has applied.
     fn newest_version(&self) -> (Revision, Digest) {
         let state = self.state();
         let newest = state.history().newest();
         (newest.revision(), newest.digest())
     }
 
-    /// The version that all nodes may have.
-    fn good_version(&self) -> (Revision, Digest) {
+    /// The version that all nodes may have, as far as this replica has applied the log.
+    fn approved_version(&self) -> (Revision, Digest) {
         let state = self.state();
-        let good = state.history().approved();
-        (good.revision(), good.digest())
+        let approved = state.history().approved();
+        (approved.revision(), approved.digest())
     }
 
-    /// Answers a node or a command.
+    /// Answers a configuration request of a node or a command.
     pub(super) async fn answer_config_request(&self, request: ConfigRequest) -> ConfigResponse {
         if self.fleet.catalog.is_none() {
             return ConfigResponse::Disabled;
         }
         match request {
             ConfigRequest::Changes { since, to } => self.changes_between(since, to),
-            ConfigRequest::Chunks { of, from, above, to } => {
-                self.snapshot_chunks(of, from, serving::RevisionBounds { above, to }).await
+            ConfigRequest::Chunks { revision, from_chunk, above, to } => {
+                self.snapshot_chunks(revision, from_chunk, serving::RevisionBounds { above, to }).await
             }
             ConfigRequest::Head => {
                 let leads = self.confirm_leadership().await.is_ok();
@@ -93,19 +93,19 @@
                 ConfigResponse::Head { revision, digest, leads, leader: self.leader() }
             }
             ConfigRequest::Newest => {
-                let (revision, digest) = self.good_version();
+                let (revision, digest) = self.approved_version();
                 ConfigResponse::Head { revision, digest, leads: false, leader: self.leader() }
             }
-            // A replica that has only just started has not applied all that was agreed.
-            ConfigRequest::History(most) => match self.confirm_leadership().await {
-                Ok(()) => self.history_rows(most),
+            // A replica that has just started may not have applied all committed entries.
+            ConfigRequest::History(limit) => match self.confirm_leadership().await {
+                Ok(()) => self.recent_versions(limit),
                 Err(response) => response,
             },
             ConfigRequest::RolloutStatus if self.is_leader() => {
                 ConfigResponse::RolloutStatus(self.rollout_status())
             }
-            ConfigRequest::Release(of, signature) if self.is_leader() => {
-                self.release_version(of, signature).await
+            ConfigRequest::Release(revision, signature) if self.is_leader() => {
+                self.release_version(revision, signature).await
             }
             ConfigRequest::Propose(compressed) if self.is_leader() => self.propose_change(compressed).await,
             ConfigRequest::Rollback(to, signature) if self.is_leader() => self.roll_back(to, signature).await,
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Confirms that this replica leads and has applied all that was agreed before. Otherwise the response sends the peer on to
-    /// another replica.
+    /// Confirms that this replica leads and has applied all entries committed before the call. Otherwise returns the response
+    /// that directs the peer to another replica.
     async fn confirm_leadership(&self) -> Result<(), ConfigResponse> {
         match timeout(PROPOSAL_TIMEOUT, self.raft.ensure_linearizable()).await {
             Ok(Ok(_)) => Ok(()),
@@ -125,20 +125,20 @@
         }
     }
 
-    async fn release_version(&self, of: Revision, signature: ChangeSignature) -> ConfigResponse {
+    async fn release_version(&self, revision: Revision, signature: ChangeSignature) -> ConfigResponse {
         if let Err(response) = self.confirm_leadership().await {
             return response;
         }
         let ChangeSignature(author, note, _) = signature;
-        let response = self.commit_decision(RolloutDecision::Approved(of)).await;
+        let response = self.commit_decision(RolloutDecision::Approved(revision)).await;
         if matches!(response, ConfigResponse::Agreed(_)) {
-            info!(%author, "version {of}: released to all nodes: {note}");
+            info!(%author, "version {revision}: released to all nodes: {note}");
         }
         response
     }
 
     async fn propose_change(&self, compressed: CompressedChange) -> ConfigResponse {
-        let _one_at_a_time = self.config_service.proposing.lock().await;
+        let _proposal_guard = self.config_service.proposing.lock().await;
         if let Err(response) = self.confirm_leadership().await {
             return response;
         }
@@ -149,7 +149,7 @@
     }
 
     async fn roll_back(&self, to: Revision, signature: ChangeSignature) -> ConfigResponse {
-        let _one_at_a_time = self.config_service.proposing.lock().await;
+        let _proposal_guard = self.config_service.proposing.lock().await;
         if let Err(response) = self.confirm_leadership().await {
             return response;
         }
@@ -164,14 +164,14 @@
         }
     }
 
-    /// Has a change committed. It is checked first, so that one that would have no effect is not in every replica's log; what
-    /// counts is the outcome when it is applied.
+    /// Commits a change. It is checked first, so that a change without effect is not written to every replica's log. The outcome
+    /// is decided when the entry is applied.
     async fn commit_change(&self, change: ChangeSet, compressed: CompressedChange) -> ConfigResponse {
-        let (author, makes) = (change.author.clone(), change.resulting_revision());
+        let (author, next_revision) = (change.author.clone(), change.resulting_revision());
         let (set, removed) = (change.set.len(), change.remove.len());
         let mut newest = self.state().history().newest().clone();
         if let Err(e) = newest.apply(&change) {
-            warn!(%author, "version {makes}, {set} set, {removed} removed: {e}");
+            warn!(%author, "version {next_revision}, {set} set, {removed} removed: {e}");
             return ConfigResponse::Refused(e.to_string());
         }
         let outcome = self.commit(LedgerEntry::ConfigChange(compressed)).await;
@@ -180,14 +180,14 @@
                 info!(%author, "version {revision}, {set} set, {removed} removed: agreed");
             }
             CommitOutcome::Rejected(reason) => {
-                warn!(%author, "version {makes}, {set} set, {removed} removed: {reason}");
+                warn!(%author, "version {next_revision}, {set} set, {removed} removed: {reason}");
             }
             CommitOutcome::NotLeader | CommitOutcome::Unknown => {}
         }
         self.commit_response(outcome)
     }
 
-    /// Has a rollout decision committed, checked first like a change.
+    /// Commits a rollout decision. Like a change, it is checked first.
     async fn commit_decision(&self, decision: RolloutDecision) -> ConfigResponse {
         if let Err(e) = self.state().history().check_decision(&decision) {
             return ConfigResponse::Refused(e.to_string());
--- a/src/runtime/replica/config_service/serving.rs
+++ b/src/runtime/replica/config_service/serving.rs
@@ -8,24 +8,25 @@
     CHANGES_BYTES_MAX, ConfigResponse, HISTORY_ROWS_MAX, RESPONSE_BYTES_MAX, VersionSummary,
 };
 
-/// Compressed snapshots that are cached: of the version that all nodes may have, and of the newest.
+/// Most compressed snapshots that are cached: one of the approved version and one of the newest.
 const CACHED_SNAPSHOTS_MAX: usize = 2;
 
-/// Which versions a node can use.
+/// The versions that a node can use.
 pub(super) struct RevisionBounds {
-    /// Later than this one.
+    /// Only versions later than this one.
     pub above: Option<Revision>,
-    /// No later than this one.
+    /// Only versions no later than this one.
     pub to: Revision,
 }
 
 impl ReplicaServer {
+    /// The changes from version `since` up to version `to`, or the response that a snapshot is needed or nothing is newer.
     pub(super) fn changes_between(&self, since: Revision, to: Revision) -> ConfigResponse {
         let history = self.history();
         match history.changes_since(since, to, RESPONSE_BYTES_MAX) {
             ChangesSince::UpToDate | ChangesSince::Ahead => ConfigResponse::NothingNewer,
             ChangesSince::SnapshotRequired => ConfigResponse::Snapshot,
-            // A snapshot is smaller, and faster to take in, than very many changes.
+            // A snapshot is smaller and faster to process than very many changes.
             ChangesSince::Changes(_) if !is_reached_by_changes(&history, since, to) => {
                 ConfigResponse::Snapshot
             }
@@ -35,19 +36,19 @@
         }
     }
 
-    /// Chunks of the snapshot `of` that version, or of any one in the bounds, from chunk `from` on.
+    /// Chunks of the snapshot of a version, or of any version in the bounds, starting at `from_chunk`.
     pub(super) async fn snapshot_chunks(
         &self,
-        of: Option<Revision>,
-        from: u32,
+        revision: Option<Revision>,
+        from_chunk: u32,
         bounds: RevisionBounds,
     ) -> ConfigResponse {
-        let snapshot = match self.snapshot(of, bounds).await {
+        let snapshot = match self.snapshot(revision, bounds).await {
             Ok(snapshot) => snapshot,
             Err(response) => return response,
         };
         let mut size = 0;
-        let chunks = snapshot.chunks.iter().skip(from as usize).take_while(|chunk| {
+        let chunks = snapshot.chunks.iter().skip(from_chunk as usize).take_while(|chunk| {
             size += chunk.len();
             size <= RESPONSE_BYTES_MAX || size == chunk.len()
         });
@@ -55,24 +56,25 @@
         if chunks.is_empty() { ConfigResponse::SnapshotGone } else { ConfigResponse::Chunks(chunks) }
     }
 
-    /// The cached snapshot of that version, or a cached or new one in the bounds; else the response to send.
+    /// The cached snapshot of a version; without a version, a cached or new snapshot in the bounds. Otherwise the response to
+    /// send.
     async fn snapshot(
         &self,
-        of: Option<Revision>,
+        revision: Option<Revision>,
         bounds: RevisionBounds,
     ) -> Result<Arc<Snapshot>, ConfigResponse> {
         let mut cached = self.config_service.snapshots.lock().await;
         let history = self.history();
         let to = bounds.to.min(history.newest().revision());
-        // The node has this version already; one that was notified of a later version elsewhere turns to that replica.
+        // The node has this version already. If another replica notified it of a later one, it fetches from that replica.
         if bounds.above.is_some_and(|above| to <= above) {
             return Err(ConfigResponse::NothingNewer);
         }
-        if let Some(of) = of {
-            let snapshot = cached.iter().find(|snapshot| snapshot.revision == of).cloned();
+        if let Some(revision) = revision {
+            let snapshot = cached.iter().find(|snapshot| snapshot.revision == revision).cloned();
             return snapshot.ok_or(ConfigResponse::SnapshotGone);
         }
-        // An earlier version that stored changes lead on from is as useful as the newest, and is there already.
+        // A cached snapshot from which stored changes lead to `to` is as useful as a new one, and needs no compression.
         let is_usable = |snapshot: &Arc<Snapshot>| {
             snapshot.revision <= to
                 && bounds.above.is_none_or(|above| snapshot.revision > above)
@@ -81,11 +83,11 @@
         if let Some(snapshot) = cached.iter().find(|snapshot| is_usable(snapshot)) {
             return Ok(snapshot.clone());
         }
-        let good = Some(history.approved()).filter(|good| good.revision() == to);
-        let Some(version) = good.or_else(|| history.version(to)).cloned() else {
+        let approved = Some(history.approved()).filter(|approved| approved.revision() == to);
+        let Some(version) = approved.or_else(|| history.version(to)).cloned() else {
             return Err(ConfigResponse::NothingNewer);
         };
-        // On another thread, as it takes a while, and heartbeats and lease requests must not wait for it.
+        // On a blocking thread, as heartbeats and lease requests must not wait for the compression.
         let compressed = tokio::task::spawn_blocking(move || Snapshot::pack(&version)).await;
         let Ok(snapshot) = compressed.map(Arc::new) else { return Err(ConfigResponse::NothingNewer) };
         cached.truncate(CACHED_SNAPSHOTS_MAX - 1);
@@ -93,10 +95,10 @@
         Ok(snapshot)
     }
 
-    /// The last versions, `most` at the most, the newest last.
-    pub(super) fn history_rows(&self, most: u32) -> ConfigResponse {
+    /// The last versions, at most `limit`, the newest last.
+    pub(super) fn recent_versions(&self, limit: u32) -> ConfigResponse {
         let history = self.history();
-        let limit = (most as usize).min(HISTORY_ROWS_MAX);
+        let limit = (limit as usize).min(HISTORY_ROWS_MAX);
         let mut rows: Vec<VersionSummary> =
             history.changes().rev().take(limit).map(version_summary).collect();
         rows.reverse();
@@ -117,7 +119,7 @@
     }
 }
 
-/// Whether the stored changes lead from one version to another, and are small enough to be sent one by one.
+/// Whether the stored changes lead from one version to another and have at most [`CHANGES_BYTES_MAX`].
 fn is_reached_by_changes(history: &History, from: Revision, to: Revision) -> bool {
     match history.changes_since(from, to, usize::MAX) {
         ChangesSince::UpToDate => true,
--- a/src/runtime/replica/datagrams.rs
+++ b/src/runtime/replica/datagrams.rs
@@ -1,4 +1,5 @@
-//! Datagrams from nodes and members: lease requests, membership, zone health reports, version reports, operators' orders.
+//! Receives datagrams from nodes and replicas: lease requests, membership gossip, zone health reports, version reports and
+//! operators' orders.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,13 +17,13 @@
 use crate::log::LogRateLimiter;
 use crate::zone::ZoneOrder;
 
-/// Longest pause between two looks at the membership, as a datagram may make something due.
+/// Longest wait between two checks of the membership's timers, as a received datagram may set an earlier timer.
 const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where lease requests wait to be proposed.
+/// The queue of lease requests that wait to be proposed, with their senders' addresses.
 type RequestQueue = mpsc::Sender<(LeaseRequest, SocketAddr)>;
 
-/// Receives datagrams for as long as the process lives. Malformed ones are counted and dropped.
+/// Receives datagrams until the task is aborted. Malformed ones are counted and dropped.
 pub(super) async fn receive_datagrams(
     server: Arc<ReplicaServer>,
     socket: Arc<UdpSocket>,
@@ -58,31 +59,31 @@
         }
         FleetMessage::LeaseRequest(request) => {
             let redirect = FleetMessage::NotLeader { seq: request.seq, leader: server.leader() };
-            send(server, socket, &redirect, from);
+            send_message(server, socket, &redirect, from);
         }
         FleetMessage::Gossip(bytes) => {
             server.drive_membership(socket, |members, now, actions| {
                 members.handle_message(now, &bytes, actions)
             });
         }
-        FleetMessage::ZoneHealth { node, zone, epoch, reports: seen } => {
+        FleetMessage::ZoneHealth { node, zone, epoch, reports } => {
             let answer = if server.is_leader() {
                 let source = ZoneReportSource { address: from, node: &node, zone: &zone };
-                server.note_zone_reports(&source, epoch, &seen).filter(|_| server.is_confirmed_leader())
+                server.note_zone_reports(&source, epoch, &reports).filter(|_| server.is_confirmed_leader())
             } else {
                 Some(FleetMessage::NotLeader { seq: 0, leader: server.leader() })
             };
             if let Some(answer) = answer {
-                send(server, socket, &answer, from);
+                send_message(server, socket, &answer, from);
             }
         }
         FleetMessage::VersionStatus(status) => {
             if let Some(answer) = server.note_version_status(status, from) {
-                send(server, socket, &answer, from);
+                send_message(server, socket, &answer, from);
             }
         }
         FleetMessage::ZoneOrder { zone, order } if server.is_leader() => {
-            // In a task of its own: a commit takes its time. Orders come from operators, and are few.
+            // In a separate task, as a commit takes time. Orders come from operators and are few.
             tokio::spawn(carry_out_order(server.clone(), socket.clone(), zone, order, from));
         }
         FleetMessage::LeaseResponse(_)
@@ -102,18 +103,18 @@
     from: SocketAddr,
 ) {
     if let Err(rejection) = server.order_zone(&socket, zone, order).await {
-        send(&server, &socket, &FleetMessage::OrderRejected(rejection.to_string()), from);
+        send_message(&server, &socket, &FleetMessage::OrderRejected(rejection.to_string()), from);
     }
 }
 
-/// Sends a message; one that does not fit a datagram, or that the socket has no room for, is lost.
-fn send(server: &ReplicaServer, socket: &UdpSocket, message: &FleetMessage, to: SocketAddr) {
+/// Sends a message. It is dropped if it does not fit a datagram or the socket's send buffer is full.
+fn send_message(server: &ReplicaServer, socket: &UdpSocket, message: &FleetMessage, to: SocketAddr) {
     if let Ok(frame) = DatagramCodec::for_fleet(&server.fleet.name).encode(message) {
         let _ = socket.try_send_to(&frame, to);
     }
 }
 
-/// Drives the membership's timers. Nodes find each other through the replicas, whose addresses are in their files.
+/// Runs the membership's timers. Nodes discover each other through the replicas, whose addresses are in the nodes' files.
 pub(super) async fn run_membership(server: Arc<ReplicaServer>, socket: Arc<UdpSocket>) {
     loop {
         let wait = server
--- a/src/runtime/replica/fetch.rs
+++ b/src/runtime/replica/fetch.rs
@@ -1,4 +1,4 @@
-//! A node's requests to one replica for versions of the configuration.
+//! The client with which a node fetches configuration versions from one replica.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use crate::config_store::{Advertised, Digest, FetchRequest, FetchResponse, Revision};
 use crate::interface::Micros;
 
-/// How long a node waits before it turns to a replica that serves too many.
+/// How long a node waits before its next request to a replica that serves too many nodes.
 const BUSY_RETRY_AFTER: Micros = Micros::from_millis(200);
 
 /// A replica's response to a fetch.
 pub enum FetchResult {
-    /// Encoded changes: decoding them takes a while, and the caller decides on which thread.
+    /// Encoded changes. Decoding them takes long, so the caller chooses the thread that does it.
     Changes(Vec<Vec<u8>>),
-    /// Any other response, as the follower takes it.
+    /// Any other response, in the form that [`crate::config_store::Follower`] takes.
     Response(FetchResponse),
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl Fetcher {
-    /// To that address, connected with the first request.
+    /// A fetcher for the replica at an address; connects with the first request.
     #[must_use]
     pub fn new(address: SocketAddr) -> Fetcher {
         Fetcher { connection: ReplicaConnection::to(Some(address)) }
@@ -40,8 +40,8 @@
         (transferred.sent, transferred.received)
     }
 
-    /// Fetches changes or chunks of a version later than `above` and no later than `to`. Any failure, also that nothing has come
-    /// `within` that time, is [`FetchResponse::Failed`].
+    /// Fetches changes or chunks of a version later than `above` and no later than `to`. Any failure, including no response
+    /// `within` the time limit, is [`FetchResponse::Failed`].
     pub async fn fetch(
         &mut self,
         request: FetchRequest,
@@ -50,8 +50,8 @@
     ) -> FetchResult {
         let request = match request {
             FetchRequest::Changes { since } => ConfigRequest::Changes { since, to },
-            FetchRequest::Chunks { revision: of, from_chunk: from } => {
-                ConfigRequest::Chunks { of, from, above: Some(above), to }
+            FetchRequest::Chunks { revision, from_chunk } => {
+                ConfigRequest::Chunks { revision, from_chunk, above: Some(above), to }
             }
         };
         FetchResult::Response(match self.request(request, within).await {
@@ -67,8 +67,8 @@
         })
     }
 
-    /// The newest version of this replica that all nodes may have; the empty version where its fleet has no configuration. None
-    /// where no answer has come `within` that time.
+    /// The replica's newest version that all nodes may have, or version 0 where its fleet has no configuration. `None` without
+    /// a valid response `within` the time limit.
     pub async fn newest(&mut self, within: Duration) -> Option<Advertised> {
         match self.request(ConfigRequest::Newest, within).await? {
             ConfigResponse::Head { revision, digest, .. } => Some(Advertised { revision, digest }),
--- a/src/runtime/replica/golden_tests.rs
+++ b/src/runtime/replica/golden_tests.rs
@@ -10,9 +10,7 @@
 use openraft::{CommittedLeaderId, EntryPayload, LogId, Membership, SnapshotMeta, StoredMembership, Vote};
 use tokio::io::AsyncReadExt;
 
-use super::protocol::config::{
-    ChangeSignature, ConfigRequest as NodeRequest, ConfigResponse as NodeResponse, VersionSummary,
-};
+use super::protocol::config::{ChangeSignature, ConfigRequest, ConfigResponse, VersionSummary};
 use super::protocol::{ReplicaRequest as Request, ReplicaResponse as Response};
 use super::*;
 use crate::config_store::{
@@ -48,7 +46,7 @@
     }
 }
 
-fn engine_entries() -> Vec<openraft::Entry<Raft>> {
+fn raft_entries() -> Vec<openraft::Entry<Raft>> {
     let capacity =
         BudgetCapacity { budget: "orders".into(), capacity: 400, min_share: 3, scope: CapacityScope::Fixed };
     [
@@ -67,7 +65,7 @@
     postcard::from_bytes(&bytes).expect("a digest")
 }
 
-fn packed_change() -> CompressedChange {
+fn compressed_change() -> CompressedChange {
     let zone = crate::config_store::ZoneRecord { name: Name::new("east").expect("a name"), capacity: 240 };
     let by = ChangeAuthor { author: "ops".into(), note: "first".into(), at: 1_800_000_000 };
     let change = ChangeSet::draft(&ConfigVersion::default(), vec![Record::Zone(zone)], Vec::new(), by);
@@ -78,31 +76,31 @@
     ChangeSignature("ops".into(), "why".into(), 1_800_000_000)
 }
 
-fn node_requests() -> Vec<(&'static str, NodeRequest)> {
+fn config_requests() -> Vec<(&'static str, ConfigRequest)> {
     let (since, to) = (Revision(300), Revision(301));
     vec![
-        ("", NodeRequest::Changes { since, to }),
-        ("", NodeRequest::Chunks { of: Some(Revision(299)), from: 7, above: Some(since), to }),
-        ("any", NodeRequest::Chunks { of: None, from: 0, above: None, to }),
-        ("", NodeRequest::Head),
-        ("", NodeRequest::Propose(packed_change())),
-        ("", NodeRequest::History(20)),
-        ("", NodeRequest::Rollback(since, signature())),
-        ("", NodeRequest::RolloutStatus),
-        ("", NodeRequest::Newest),
-        ("", NodeRequest::Release(since, signature())),
+        ("", ConfigRequest::Changes { since, to }),
+        ("", ConfigRequest::Chunks { revision: Some(Revision(299)), from_chunk: 7, above: Some(since), to }),
+        ("any", ConfigRequest::Chunks { revision: None, from_chunk: 0, above: None, to }),
+        ("", ConfigRequest::Head),
+        ("", ConfigRequest::Propose(compressed_change())),
+        ("", ConfigRequest::History(20)),
+        ("", ConfigRequest::Rollback(since, signature())),
+        ("", ConfigRequest::RolloutStatus),
+        ("", ConfigRequest::Newest),
+        ("", ConfigRequest::Release(since, signature())),
     ]
 }
 
 fn halted() -> RolloutHalted {
-    let harm = [
+    let failures = [
         ("node-1", CanaryFailure::Rejected("no room".into())),
         ("node-2", CanaryFailure::Unresponsive),
         ("node-3", CanaryFailure::Restarted),
     ];
     RolloutHalted {
         revision: Revision(302),
-        failures: harm.map(|(node, harm)| (node.to_owned(), harm)).into(),
+        failures: failures.map(|(node, failure)| (node.to_owned(), failure)).into(),
     }
 }
 
@@ -130,7 +128,7 @@
     }
 }
 
-fn node_responses() -> Vec<(&'static str, NodeResponse)> {
+fn config_responses() -> Vec<(&'static str, ConfigResponse)> {
     let row = VersionSummary {
         revision: Revision(300),
         digest: digest(),
@@ -141,25 +139,25 @@
         at: 1_800_000_000,
     };
     let head =
-        |leads, leader| NodeResponse::Head { revision: Revision(300), digest: digest(), leads, leader };
+        |leads, leader| ConfigResponse::Head { revision: Revision(300), digest: digest(), leads, leader };
     vec![
-        ("", NodeResponse::Changes(vec![vec![1, 2, 255], vec![3]])),
-        ("", NodeResponse::Chunks(vec![vec![4, 5, 255]])),
-        ("", NodeResponse::Snapshot),
-        ("", NodeResponse::SnapshotGone),
-        ("", NodeResponse::NothingNewer),
-        ("", NodeResponse::Busy),
+        ("", ConfigResponse::Changes(vec![vec![1, 2, 255], vec![3]])),
+        ("", ConfigResponse::Chunks(vec![vec![4, 5, 255]])),
+        ("", ConfigResponse::Snapshot),
+        ("", ConfigResponse::SnapshotGone),
+        ("", ConfigResponse::NothingNewer),
+        ("", ConfigResponse::Busy),
         ("leader", head(true, None)),
         ("follower", head(false, Some("replica-2".into()))),
-        ("", NodeResponse::Agreed(Revision(301))),
-        ("", NodeResponse::Refused("it changes nothing".into())),
-        ("", NodeResponse::NotLeader(Some("replica-2".into()))),
-        ("unknown", NodeResponse::NotLeader(None)),
-        ("", NodeResponse::Unknown),
-        ("", NodeResponse::History(vec![row], Revision(7))),
-        ("", NodeResponse::RolloutStatus(rollout_status())),
-        ("before-all-changes", NodeResponse::RolloutStatus(RolloutStatus::default())),
-        ("", NodeResponse::Disabled),
+        ("", ConfigResponse::Agreed(Revision(301))),
+        ("", ConfigResponse::Refused("it changes nothing".into())),
+        ("", ConfigResponse::NotLeader(Some("replica-2".into()))),
+        ("unknown", ConfigResponse::NotLeader(None)),
+        ("", ConfigResponse::Unknown),
+        ("", ConfigResponse::History(vec![row], Revision(7))),
+        ("", ConfigResponse::RolloutStatus(rollout_status())),
+        ("before-all-changes", ConfigResponse::RolloutStatus(RolloutStatus::default())),
+        ("", ConfigResponse::Disabled),
     ]
 }
 
@@ -181,7 +179,7 @@
             Request::AppendEntries(AppendEntriesRequest {
                 vote,
                 prev_log_id: Some(log_id(2, 999)),
-                entries: engine_entries(),
+                entries: raft_entries(),
                 leader_commit: Some(log_id(2, 998)),
             }),
         ),
@@ -205,7 +203,7 @@
                 done: true,
             }),
         ),
-        ("", Request::Config(NodeRequest::Head)),
+        ("", Request::Config(ConfigRequest::Head)),
     ];
     pinned.variants_by(&names, &values, &plain(), same_bytes);
 
@@ -229,7 +227,7 @@
         ("", Response::Vote(VoteResponse::new(Vote::new(4, 600), Some(log_id(3, 1_000)), true))),
         ("", Response::InstallSnapshot(InstallSnapshotResponse { vote })),
         ("", Response::Rejected("no such founding".into())),
-        ("", Response::Config(NodeResponse::Disabled)),
+        ("", Response::Config(ConfigResponse::Disabled)),
     ];
     pinned.variants_by(&names, &values, &plain(), same_bytes);
     pinned.finish();
@@ -238,35 +236,35 @@
 #[test]
 fn every_call_about_the_configuration_has_the_pinned_bytes() {
     let mut pinned = Pinned::of("configuration-streams");
-    let names = names!(NodeRequest {
-        NodeRequest::Changes { .. } => "changes-request",
-        NodeRequest::Chunks { .. } => "chunks-request",
-        NodeRequest::Head => "head-request",
-        NodeRequest::Propose(_) => "propose-request",
-        NodeRequest::History(_) => "history-request",
-        NodeRequest::Rollback(..) => "rollback-request",
-        NodeRequest::RolloutStatus => "rollout-status-request",
-        NodeRequest::Newest => "newest-request",
-        NodeRequest::Release(..) => "release-request",
+    let names = names!(ConfigRequest {
+        ConfigRequest::Changes { .. } => "changes-request",
+        ConfigRequest::Chunks { .. } => "chunks-request",
+        ConfigRequest::Head => "head-request",
+        ConfigRequest::Propose(_) => "propose-request",
+        ConfigRequest::History(_) => "history-request",
+        ConfigRequest::Rollback(..) => "rollback-request",
+        ConfigRequest::RolloutStatus => "rollout-status-request",
+        ConfigRequest::Newest => "newest-request",
+        ConfigRequest::Release(..) => "release-request",
     });
-    pinned.variants_by(&names, &node_requests(), &plain(), same_bytes);
-    let names = names!(NodeResponse {
-        NodeResponse::Changes(_) => "changes-response",
-        NodeResponse::Chunks(_) => "chunks-response",
-        NodeResponse::Snapshot => "snapshot-needed",
-        NodeResponse::SnapshotGone => "snapshot-gone",
-        NodeResponse::NothingNewer => "nothing-newer",
-        NodeResponse::Busy => "busy",
-        NodeResponse::Head { .. } => "head-response",
-        NodeResponse::Agreed(_) => "committed",
-        NodeResponse::Refused(_) => "rejected",
-        NodeResponse::NotLeader(_) => "redirect-to-leader",
-        NodeResponse::Unknown => "outcome-unknown",
-        NodeResponse::History(..) => "history-response",
-        NodeResponse::RolloutStatus(_) => "rollout-status-response",
-        NodeResponse::Disabled => "not-enabled",
+    pinned.variants_by(&names, &config_requests(), &plain(), same_bytes);
+    let names = names!(ConfigResponse {
+        ConfigResponse::Changes(_) => "changes-response",
+        ConfigResponse::Chunks(_) => "chunks-response",
+        ConfigResponse::Snapshot => "snapshot-needed",
+        ConfigResponse::SnapshotGone => "snapshot-gone",
+        ConfigResponse::NothingNewer => "nothing-newer",
+        ConfigResponse::Busy => "busy",
+        ConfigResponse::Head { .. } => "head-response",
+        ConfigResponse::Agreed(_) => "committed",
+        ConfigResponse::Refused(_) => "rejected",
+        ConfigResponse::NotLeader(_) => "redirect-to-leader",
+        ConfigResponse::Unknown => "outcome-unknown",
+        ConfigResponse::History(..) => "history-response",
+        ConfigResponse::RolloutStatus(_) => "rollout-status-response",
+        ConfigResponse::Disabled => "not-enabled",
     });
-    pinned.variants_by(&names, &node_responses(), &plain(), same_bytes);
+    pinned.variants_by(&names, &config_responses(), &plain(), same_bytes);
     pinned.finish();
 }
 
@@ -274,30 +272,30 @@
 async fn a_stream_frame_has_its_length_before_it() {
     let mut pinned = Pinned::of("stream-frame");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let at = listener.local_addr().expect("its address");
-    let out = tokio::net::TcpStream::connect(at).await.expect("a connection");
-    let (mut taken, _) = listener.accept().await.expect("a connection");
-    let mut frames = protocol::frame_stream(out);
-    let request = Request::Config(NodeRequest::Head);
+    let address = listener.local_addr().expect("its address");
+    let client = tokio::net::TcpStream::connect(address).await.expect("a connection");
+    let (mut accepted, _) = listener.accept().await.expect("a connection");
+    let mut frames = protocol::frame_stream(client);
+    let request = Request::Config(ConfigRequest::Head);
     frames.send(protocol::encode_message(&request).expect("bytes")).await.expect("sent");
     drop(frames);
     let mut sent = Vec::new();
-    taken.read_to_end(&mut sent).await.expect("read");
+    accepted.read_to_end(&mut sent).await.expect("read");
     let raw = Codec::<Vec<u8>> { encode: Vec::clone, decode: |bytes| Some(bytes.to_vec()) };
     pinned.value("head-request", &sent, &raw);
     pinned.finish();
 }
 
 #[test]
-fn the_engines_records_have_the_pinned_bytes() {
+fn raft_records_have_the_pinned_bytes() {
     let mut pinned = Pinned::of("engine-records");
-    type EngineEntry = openraft::Entry<Raft>;
-    let names = names!(EngineEntry {
-        EngineEntry { payload: EntryPayload::Blank, .. } => "entry-blank",
-        EngineEntry { payload: EntryPayload::Normal(_), .. } => "entry-normal",
-        EngineEntry { payload: EntryPayload::Membership(_), .. } => "entry-membership",
+    type RaftEntry = openraft::Entry<Raft>;
+    let names = names!(RaftEntry {
+        RaftEntry { payload: EntryPayload::Blank, .. } => "entry-blank",
+        RaftEntry { payload: EntryPayload::Normal(_), .. } => "entry-normal",
+        RaftEntry { payload: EntryPayload::Membership(_), .. } => "entry-membership",
     });
-    let entries: Vec<_> = engine_entries().into_iter().map(|entry| ("", entry)).collect();
+    let entries: Vec<_> = raft_entries().into_iter().map(|entry| ("", entry)).collect();
     pinned.variants(&names, &entries, &plain());
     pinned.value("vote", &Vote::<u64>::new(4, 600), &plain());
     pinned.value("vote-committed", &Vote::<u64>::new_committed(3, 500), &plain());
@@ -310,14 +308,14 @@
         EntryResult { apply_outcome: Some(Ok(_)), .. } => "outcome-change-applied",
         EntryResult { apply_outcome: Some(Err(_)), .. } => "outcome-change-rejected",
     });
-    let told = LeaseResponse {
+    let lease_response = LeaseResponse {
         holder: LeaseHolderId { name: "node-7".into(), incarnation: 300 },
         seq: 41,
         epoch: 9_000,
         grants: vec![BudgetGrant { budget: "orders".into(), amount: 12, target: 10 }],
     };
     let values = [
-        ("", EntryResult { lease_responses: vec![told], apply_outcome: None }),
+        ("", EntryResult { lease_responses: vec![lease_response], apply_outcome: None }),
         ("", EntryResult { lease_responses: Vec::new(), apply_outcome: Some(Ok(Revision(301))) }),
         (
             "",
--- a/src/runtime/replica/leadership_log.rs
+++ b/src/runtime/replica/leadership_log.rs
@@ -1,4 +1,4 @@
-//! Log lines for each time that this replica begins or ceases to lead.
+//! Logs each time that this replica begins or ceases to lead.
 
 use std::sync::Arc;
 
@@ -8,24 +8,24 @@
 use super::MAINTENANCE_INTERVAL;
 use super::server::ReplicaServer;
 
-/// The leadership that was last logged: the term, or none.
+/// The leadership that was last logged: the term in which the replica led, or `None`.
 #[derive(Debug, Default)]
 struct LoggedLeadership(Option<u64>);
 
 impl LoggedLeadership {
-    /// The text to log now that the replica leads in that term, or does not; none where nothing has changed. One that loses the
-    /// lead and regains it between two looks leads in another term, and the line says so: otherwise a reader would take the
-    /// replica that led in between for the leader.
+    /// Records the current leadership and returns the text to log, or `None` where nothing has changed. A replica that loses
+    /// and regains the lead between two checks leads in another term, and that term is logged: otherwise a reader of the logs
+    /// would take the replica that led in between for the leader.
     fn update(&mut self, leading_term: Option<u64>) -> Option<String> {
         match (leading_term, std::mem::replace(&mut self.0, leading_term)) {
-            (now, before) if now == before => None,
+            (current, previous) if current == previous => None,
             (Some(term), _) => Some(format!("leads in term {term}")),
             (None, _) => Some("no longer leads".to_owned()),
         }
     }
 }
 
-/// Logs changes of leadership. A task of its own, as proposals are waited for, longest while leadership is being lost.
+/// Logs changes of leadership. This is a separate task, as other tasks wait for proposals, longest while leadership is lost.
 pub(super) async fn log_leadership(server: Arc<ReplicaServer>) {
     let (mut ticks, mut logged) = (interval(MAINTENANCE_INTERVAL), LoggedLeadership::default());
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/src/runtime/replica/lease_proposals.rs
+++ b/src/runtime/replica/lease_proposals.rs
@@ -1,4 +1,4 @@
-//! Turns lease requests into log entries, and answers them once an entry is committed.
+//! Proposes lease requests as log entries, and answers them once their entry is committed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,21 +16,22 @@
 use crate::fleet::lease::ledger::{LeaseRequest, LedgerEntry};
 use crate::fleet::lease::request_batcher::RequestBatcher;
 
-/// Requests of this span share one entry: 50 entries a second at the most, however many nodes send requests.
+/// Requests that arrive within this interval share one entry: at most 50 entries per second, however many nodes send
+/// requests.
 const BATCH_INTERVAL: Duration = Duration::from_millis(20);
-/// Entries in flight at a time: without a majority of replicas they would pile up.
+/// Most entries in flight at a time: without a majority of replicas they would accumulate.
 const PROPOSALS_IN_FLIGHT_MAX: usize = 8;
 
 /// A lease request and the address that it came from.
 type AddressedRequest = (LeaseRequest, SocketAddr);
 
-/// Requests that share one entry, and where their responses go.
+/// Requests that share one entry, and the addresses for their responses.
 struct RequestBatch {
     requests: Vec<LeaseRequest>,
     reply_to: HashMap<LeaseHolderId, SocketAddr>,
 }
 
-/// Proposes the lease requests of each [`BATCH_INTERVAL`] as one entry, until the queue's senders are gone.
+/// Proposes the lease requests of each [`BATCH_INTERVAL`] as one entry, until all senders of the queue are dropped.
 pub(super) async fn propose_lease_requests(
     server: Arc<ReplicaServer>,
     socket: Arc<UdpSocket>,
@@ -39,7 +40,7 @@
     let proposals = Arc::new(Semaphore::new(PROPOSALS_IN_FLIGHT_MAX));
     let mut batcher = RequestBatcher::default();
     loop {
-        // Requests that the batcher holds back fall due also while no other arrives.
+        // Requests that the batcher has deferred become due even if no other request arrives.
         let first = match batcher.is_empty() {
             true => queue.recv().await,
             false => timeout(BATCH_INTERVAL, queue.recv()).await.unwrap_or(None),
@@ -59,7 +60,7 @@
     }
 }
 
-/// Moves requests from the queue to the batcher, as many as fit, and takes those that are due.
+/// Moves requests from the queue to the batcher, as many as fit, and returns those that are due.
 fn collect_batch(
     server: &ReplicaServer,
     batcher: &mut RequestBatcher<SocketAddr>,
@@ -69,11 +70,11 @@
     let mut next = first;
     {
         let state = server.state();
-        let mut room = batcher.remaining_capacity();
+        let mut free_slots = batcher.remaining_capacity();
         while let Some((request, address)) = next {
             batcher.push(state.ledger(), request, address);
-            room = room.saturating_sub(1);
-            next = if room > 0 { queue.try_recv().ok() } else { None };
+            free_slots = free_slots.saturating_sub(1);
+            next = if free_slots > 0 { queue.try_recv().ok() } else { None };
         }
     }
     let mut batch = RequestBatch { requests: Vec::new(), reply_to: HashMap::new() };
@@ -84,8 +85,8 @@
     batch
 }
 
-/// Has a batch committed and sends the responses. Without a commit in time nothing is lost: the nodes repeat their requests,
-/// and an entry that is committed later finds them superseded.
+/// Commits a batch and sends the responses. Without a commit in time nothing is lost: the nodes repeat their requests, and an
+/// entry that is committed later finds its requests superseded.
 async fn commit_batch(
     server: Arc<ReplicaServer>,
     socket: Arc<UdpSocket>,
--- a/src/runtime/replica/maintenance.rs
+++ b/src/runtime/replica/maintenance.rs
@@ -1,4 +1,4 @@
-//! What the leader proposes on its own: changed capacities, expired leases, and zone decisions.
+//! The leader's periodic proposals: changed capacities, expired leases and zone updates.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use super::{MAINTENANCE_INTERVAL, PROPOSAL_TIMEOUT};
 use crate::fleet::lease::ledger::LedgerEntry;
 
-/// Proposes what is due every [`MAINTENANCE_INTERVAL`] while this replica leads.
+/// Every [`MAINTENANCE_INTERVAL`], while this replica leads, proposes the entries that are due.
 pub(super) async fn run_maintenance(server: Arc<ReplicaServer>, socket: Arc<UdpSocket>) {
     let mut ticks = interval(MAINTENANCE_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -54,7 +54,7 @@
     }
 }
 
-/// One line for each budget whose leased amount has changed since its last line.
+/// Logs each budget whose leased amount has changed since it was last logged.
 fn log_leased_amounts(server: &ReplicaServer, logged: &mut BTreeMap<String, u64>) {
     let sums: Vec<(String, u32, u64)> = server
         .state()
--- a/src/runtime/replica/mod.rs
+++ b/src/runtime/replica/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! `openraft` runs the consensus and `redb` stores its log. What an entry does, and when a lease has expired, is decided in
 //! [`crate::fleet`]; which version of the configuration nodes may fetch, in [`crate::config_store`]. The files here move
-//! bytes, start entries and write log lines. Nothing is reported as agreed before a majority has stored it.
+//! bytes, propose entries and write log lines. Nothing is reported as agreed before a majority has stored it.
 
 mod bootstrap;
 pub mod client;
@@ -46,26 +46,26 @@
 pub use store::LogStoreError;
 pub use version_inventory::StoredConfigError;
 
-/// Raft's heartbeat interval, ms; also the time limit of one call to another replica. Much shorter, a busy machine answers
-/// no call in time while the leader's heartbeats still arrive: nothing is agreed, and no other leader is elected.
+/// Raft's heartbeat interval, ms; also the time limit of one call to another replica. If it is much shorter, a busy machine
+/// answers no call in time while the leader's heartbeats still arrive: nothing is agreed, and no other leader is elected.
 const HEARTBEAT_MS: u64 = 250;
 /// Log entries after which Raft takes a snapshot.
 const SNAPSHOT_ENTRIES: u64 = 2_000;
-/// Log entries that stay in the log behind a snapshot, for replicas that lag a little.
+/// Log entries that are kept behind a snapshot, for replicas that lag by no more than these.
 const KEPT_ENTRIES: u64 = 200;
-/// Lease requests that wait for an entry. Beyond them a request is dropped, and its node sends it again.
+/// Most lease requests that wait to be proposed. A further request is dropped, and its node sends it again.
 const REQUEST_QUEUE_MAX: usize = 4_096;
-/// Time limit for one entry to be committed: nodes have repeated older requests by then.
+/// Time limit for an entry to be committed: nodes have repeated older requests by then.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Between two looks at expired leases, rollouts and leadership.
+/// Interval between two checks of expired leases, rollouts and leadership.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What applying an entry produced.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EntryResult {
-    /// The responses to the lease requests in it.
+    /// The responses to the lease requests in the entry.
     pub lease_responses: Vec<LeaseResponse>,
-    /// The outcome of a configuration change or rollout decision; none for other entries.
+    /// The outcome of a configuration change or rollout decision; `None` for other entries.
     pub apply_outcome: Option<ApplyOutcome>,
 }
 
@@ -83,26 +83,26 @@
 
 type RaftHandle = openraft::Raft<Raft>;
 
-/// Why a replica did not start or did not shut down in order.
+/// Why a replica did not start or did not shut down cleanly.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicaError {
     /// The fleet's file names no such replica.
-    #[error("there is no keeper \"{name}\"; there are: {}", known.join(", "))]
+    #[error("the fleet's file has no keeper \"{name}\"; it has: {}", known.join(", "))]
     UnknownReplica {
         /// The name that was given.
         name: String,
         /// The names in the file.
         known: Vec<String>,
     },
-    /// A socket was not bound.
-    #[error("{address}: {reason}")]
+    /// The replica's UDP or TCP socket can't be bound.
+    #[error("can't bind {address}: {reason}")]
     Bind {
         /// The replica's address.
         address: SocketAddr,
-        /// The system's reason.
+        /// The operating system's error.
         reason: std::io::Error,
     },
-    /// The data folder was not created, or signals can't be received.
+    /// The data folder can't be created, or signals can't be received.
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// The replica's file can't be opened or read.
@@ -119,17 +119,17 @@
     Shutdown(#[from] tokio::task::JoinError),
 }
 
-/// Raft's number for the replica of that name.
+/// The Raft node id of the replica with this name.
 fn replica_id(name: &str) -> u64 {
     u64::from(crc32fast::hash(name.as_bytes()))
 }
 
-/// Locks a mutex, also after a panic in another task that held it: each one guards a struct that is valid between calls.
+/// Locks a mutex, also after a panic in another task that held it: each mutex guards a struct that is valid between calls.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Runs the replica of that name, with its data in that folder, until the signal to stop.
+/// Runs the replica `name`, with its data in `folder`, until it receives the signal to stop.
 ///
 /// # Errors
 /// [`ReplicaError`]: what prevented the start, or went wrong in the shutdown.
@@ -155,11 +155,11 @@
     }
     tasks.iter().for_each(JoinHandle::abort);
     server.raft.shutdown().await?;
-    info!("replica {} ends", server.name);
+    info!("replica {} has shut down", server.name);
     Ok(())
 }
 
-/// The replica's tasks; they run until they are aborted.
+/// Starts the replica's tasks; they run until they are aborted.
 fn spawn_tasks(
     server: &Arc<ReplicaServer>,
     socket: Arc<UdpSocket>,
@@ -180,7 +180,7 @@
     ]
 }
 
-/// Opens the data folder and starts Raft on what is in it.
+/// Opens the data folder and starts Raft with the stored state.
 async fn open_server(
     name: String,
     folder: &Path,
@@ -229,7 +229,7 @@
     Members::new(own, incarnation).with_replicas(seeds)
 }
 
-/// Reads the fleet's file again. Budgets and zone settings are taken over; all else waits for the next start.
+/// Reads the fleet's file again. Budgets and zone settings take effect at once; other settings need a restart.
 fn reload_budgets(server: &ReplicaServer) {
     match Fleet::load(&server.fleet.file, None) {
         Ok(file) if file.bounds == server.fleet.bounds && file.keepers == server.fleet.keepers => {
--- a/src/runtime/replica/protocol.rs
+++ b/src/runtime/replica/protocol.rs
@@ -1,7 +1,7 @@
-//! Streams between replicas: Raft's calls and the bootstrap, each message in a frame with its length. Nodes and operators'
-//! commands send theirs about the configuration on the same streams ([`config`]).
+//! The stream protocol of replicas: Raft's calls and the bootstrap, each message in a length-prefixed frame. Nodes and
+//! operators' commands use the same protocol for configuration requests ([`config`]).
 //!
-//! Messages are encoded by the order of variants and fields: neither is ever reordered.
+//! The encoding depends on the order of variants and fields, so neither may be reordered.
 
 pub mod config;
 
@@ -29,56 +29,56 @@
 type NodeId = u64;
 type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Largest frame, bytes: a snapshot's chunk of 3 MiB and what goes with it.
+/// Largest frame, bytes: more than a Raft snapshot's chunk of 3 MiB and the fields sent with it.
 const FRAME_MAX: usize = 8 << 20;
-/// Bytes of a frame's length, before each frame.
+/// Bytes of the length prefix of a frame.
 const FRAME_HEADER_BYTES: u64 = 4;
-/// Bytes of entries in one call: what a slow link carries within Raft's time limit for it.
+/// Most bytes of entries in one call: as many as a slow link carries within Raft's time limit for the call.
 pub const ENTRIES_BYTES_MAX: usize = 1 << 20;
-/// Time limit for a connection; Raft's own limit for a call applies as well.
+/// Time limit for connecting; Raft's own limit for a call applies as well.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Between Raft's attempts to reach a replica that refuses connections.
+/// Interval between Raft's attempts to reach a replica that refuses connections.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(100);
 
 /// A request to a replica.
 #[derive(Serialize, Deserialize)]
 pub enum ReplicaRequest {
-    /// To join the bootstrap of that id.
+    /// Asks the replica to join the bootstrap with this id.
     JoinBootstrap(u64),
-    /// Raft's.
+    /// Raft's call that appends log entries, or none as a heartbeat.
     AppendEntries(AppendEntriesRequest<Raft>),
-    /// Raft's.
+    /// Raft's call that requests a vote.
     Vote(VoteRequest<NodeId>),
-    /// Raft's.
+    /// Raft's call that sends a part of a snapshot.
     InstallSnapshot(InstallSnapshotRequest<Raft>),
-    /// A node's or a command's.
+    /// A configuration request from a node or a command.
     Config(config::ConfigRequest),
 }
 
 /// A replica's response.
 #[derive(Serialize, Deserialize)]
 pub enum ReplicaResponse {
-    /// Whether it joins the bootstrap, or has joined it before.
+    /// Whether the replica joins the bootstrap, or has joined it before.
     BootstrapJoined(bool),
-    /// Raft's.
+    /// Raft's response to [`ReplicaRequest::AppendEntries`].
     AppendEntries(AppendEntriesResponse<NodeId>),
-    /// Raft's.
+    /// Raft's response to [`ReplicaRequest::Vote`].
     Vote(VoteResponse<NodeId>),
-    /// Raft's.
+    /// Raft's response to [`ReplicaRequest::InstallSnapshot`].
     InstallSnapshot(InstallSnapshotResponse<NodeId>),
-    /// The replica takes part in nothing yet, or Raft refuses the call; the reason.
+    /// The replica has joined no bootstrap, or Raft refuses the call; the reason.
     Rejected(String),
-    /// To a node or a command.
+    /// The response to a configuration request.
     Config(config::ConfigResponse),
 }
 
-/// The frames of a stream.
+/// Splits a stream into length-prefixed frames of at most 8 MiB.
 pub fn frame_stream(stream: TcpStream) -> FramedStream {
     let _ = stream.set_nodelay(true);
     LengthDelimitedCodec::builder().max_frame_length(FRAME_MAX).new_framed(stream)
 }
 
-/// A message's bytes.
+/// Encodes a message as the content of one frame.
 ///
 /// # Errors
 /// The message can't be encoded.
@@ -86,24 +86,24 @@
     postcard::to_allocvec(message).map(Bytes::from).map_err(Error::other)
 }
 
-/// Bytes of frames, with their headers.
+/// Bytes of frames, including their length prefixes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TransferredBytes {
-    /// Of requests.
+    /// Bytes of requests.
     pub sent: u64,
-    /// Of responses.
+    /// Bytes of responses.
     pub received: u64,
 }
 
-/// A connection to one replica. It carries one call at a time; a call that fails closes it, so that no response is taken for
-/// another call's.
+/// A connection to one replica. It carries one call at a time; a call that fails closes it, so that no response is matched to
+/// another call.
 pub struct ReplicaConnection {
     address: Option<SocketAddr>,
     stream: Option<FramedStream>,
     transferred: TransferredBytes,
 }
 
-/// A call that had a response, and the stream for the next one.
+/// The result of a call with a response, and the stream for the next call.
 struct CompletedCall {
     stream: FramedStream,
     response: ReplicaResponse,
@@ -111,12 +111,12 @@
 }
 
 impl ReplicaConnection {
-    /// To that address, made with the first call. Without an address each call fails.
+    /// A connection to an address, established with the first call. Without an address each call fails.
     pub fn to(address: Option<SocketAddr>) -> ReplicaConnection {
         ReplicaConnection { address, stream: None, transferred: TransferredBytes::default() }
     }
 
-    /// Bytes so far of the calls that had a response.
+    /// Bytes so far of calls that had a response.
     pub fn transferred_bytes(&self) -> TransferredBytes {
         self.transferred
     }
@@ -162,7 +162,7 @@
     }
 }
 
-/// The replicas' addresses, as this one reaches them.
+/// The address at which this replica reaches each other replica.
 #[derive(Clone)]
 pub struct ReplicaNetwork(pub BTreeMap<NodeId, SocketAddr>);
 
@@ -177,7 +177,7 @@
 type CallError<E = openraft::error::Infallible> = RPCError<NodeId, BasicNode, RaftError<NodeId, E>>;
 
 fn transport_error<E: std::error::Error>(e: &Error) -> CallError<E> {
-    // Nobody listens there: Raft waits for UNREACHABLE_BACKOFF before it tries again.
+    // No process listens at the address: Raft waits for UNREACHABLE_BACKOFF before it tries again.
     match e.kind() {
         ErrorKind::ConnectionRefused => RPCError::Unreachable(Unreachable::new(e)),
         _ => RPCError::Network(NetworkError::new(e)),
@@ -187,7 +187,7 @@
 fn unexpected_response<E: std::error::Error>(response: ReplicaResponse) -> CallError<E> {
     let reason = match response {
         ReplicaResponse::Rejected(reason) => reason,
-        _ => "another kind of reply".to_owned(),
+        _ => "the response does not match the request".to_owned(),
     };
     RPCError::Network(NetworkError::from(AnyError::error(reason)))
 }
--- a/src/runtime/replica/state_machine.rs
+++ b/src/runtime/replica/state_machine.rs
@@ -33,7 +33,7 @@
 }
 
 impl StateMachineStore {
-    /// The state of the stored snapshot; Raft applies the entries after it.
+    /// Restores the state from the stored snapshot, if any. Raft applies the entries after it.
     ///
     /// # Errors
     /// [`LogStoreError`].
@@ -72,7 +72,7 @@
     }
 }
 
-/// The state when a snapshot was requested, without entries that are applied while it is written.
+/// A copy of the state when a snapshot was requested. It excludes entries that are applied while the snapshot is written.
 #[derive(Clone)]
 pub struct SnapshotCopy {
     pub(super) meta: SnapshotMeta<NodeId, BasicNode>,
@@ -82,7 +82,7 @@
 }
 
 impl SnapshotCopy {
-    /// Stores ledger and configuration; with a large configuration that takes a while.
+    /// Stores the ledger and the configuration. Blocks its thread for long with a large configuration.
     pub(super) fn write(&self) -> Result<StoredSnapshot, LogStoreError> {
         let bytes = postcard::to_allocvec(&self.ledger)?;
         let bytes = version_inventory::append_history(bytes, &self.history)?;
@@ -95,7 +95,7 @@
 impl RaftSnapshotBuilder<Raft> for SnapshotCopy {
     async fn build_snapshot(&mut self) -> Result<Snapshot<Raft>, RaftStorageError> {
         let copy = self.clone();
-        // On another thread than the one that answers heartbeats and lease requests.
+        // On a blocking thread, as heartbeats and lease requests must not wait for it.
         let stored = tokio::task::spawn_blocking(move || copy.write()).await;
         let stored = stored.map_err(|e| StorageIOError::write_snapshot(None, &e))?.map_err(write_error)?;
         Ok(raft_snapshot(stored))
--- a/src/runtime/replica/store.rs
+++ b/src/runtime/replica/store.rs
@@ -1,7 +1,7 @@
 //! A replica's file: Raft's log and vote, the last snapshot, and the bootstrap that the replica joined.
 //!
-//! One `redb` file. A write is on the disk before it is reported as done. A replica whose file is lost has forgotten its votes
-//! and may not vote ([`LogStore::bootstrap_id`]). What entries do is decided in [`super::state_machine`].
+//! The file is a `redb` database. A write is on the disk before it is reported as done. A replica whose file was lost has also
+//! lost its votes and may not vote ([`LogStore::bootstrap_id`]). Entries are applied in [`super::state_machine`].
 
 use std::fmt::Debug;
 use std::ops::RangeBounds;
@@ -33,25 +33,25 @@
 const BOOTSTRAP: &str = "founding";
 const SNAPSHOT: &str = "snapshot";
 
-/// Bytes of the file that are cached at the most, a tenth of them while they wait to be written. Raft reads what was written
-/// last, and a snapshot now and then; `redb`'s own default of 1 GiB would hold the entire file.
+/// Most bytes of the file that are cached; up to a tenth of them wait to be written. Raft mostly reads the last entries, and
+/// occasionally a snapshot; `redb`'s default of 1 GiB would hold the entire file in memory.
 const CACHE_BYTES: usize = 16 << 20;
 
-/// The file, shared by Raft's tasks.
+/// The replica's open file; clones share it.
 #[derive(Clone)]
 pub struct LogStore(Arc<Database>);
 
 /// Why a replica's file can't be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum LogStoreError {
-    /// The file itself.
+    /// The file can't be opened, read or written.
     #[error("{0}")]
     File(Box<redb::Error>),
-    /// A value in it can't be encoded or decoded.
-    #[error("what is on the disk can't be read: {0}")]
+    /// A value of the file can't be encoded or decoded.
+    #[error("a value of the replica's file can't be encoded or decoded: {0}")]
     Encoding(#[from] postcard::Error),
-    /// The configuration in it.
-    #[error("the configuration on the disk can't be read: {0}")]
+    /// The configuration can't be encoded or decoded.
+    #[error("the configuration in the replica's file can't be encoded or decoded: {0}")]
     Config(#[from] StoredConfigError),
 }
 
@@ -73,16 +73,16 @@
     redb::CommitError
 );
 
-/// A snapshot as it is stored. Read and written by the order of the fields.
+/// A stored snapshot. The encoding depends on the order of the fields.
 #[derive(Clone, Serialize, Deserialize)]
 pub(super) struct StoredSnapshot {
     pub meta: SnapshotMeta<NodeId, BasicNode>,
-    /// The ledger, and the configuration behind it ([`super::version_inventory`]).
+    /// The encoded ledger, followed by the configuration ([`super::version_inventory`]).
     pub bytes: Vec<u8>,
 }
 
 impl LogStore {
-    /// Opens the file in that folder, or creates it.
+    /// Opens the replica's file in a folder, or creates it.
     ///
     /// # Errors
     /// [`LogStoreError::File`].
@@ -111,19 +111,20 @@
     /// Runs one write transaction on both tables.
     fn write(
         &self,
-        change: impl FnOnce(&mut LogTable<'_>, &mut MetaTable<'_>) -> Result<(), LogStoreError>,
+        update: impl FnOnce(&mut LogTable<'_>, &mut MetaTable<'_>) -> Result<(), LogStoreError>,
     ) -> Result<(), LogStoreError> {
         let transaction = self.0.begin_write()?;
         {
             let mut log = transaction.open_table(LOG)?;
             let mut meta = transaction.open_table(META)?;
-            change(&mut log, &mut meta)?;
+            update(&mut log, &mut meta)?;
         }
         transaction.commit()?;
         Ok(())
     }
 
-    /// The bootstrap that this replica has joined. Without one it may not vote: if the fleet is bootstrapped, its disk is lost.
+    /// The id of the bootstrap that this replica has joined. Without one the replica may not vote: if the fleet is
+    /// bootstrapped, this replica's disk was lost.
     ///
     /// # Errors
     /// [`LogStoreError`].
@@ -131,7 +132,7 @@
         self.read_meta(BOOTSTRAP)
     }
 
-    /// Joins a bootstrap.
+    /// Stores the id of the bootstrap that this replica joins.
     ///
     /// # Errors
     /// [`LogStoreError`].
@@ -158,7 +159,7 @@
         self.write_meta(SNAPSHOT, snapshot)
     }
 
-    /// The first entries of a range, up to so many bytes; one at the least.
+    /// The first entries of a range, up to `bytes_max` encoded bytes, but at least one entry.
     fn read_entries(
         &self,
         range: impl RangeBounds<u64>,
@@ -199,7 +200,7 @@
         })
     }
 
-    /// Removes the entries of a range; `purged` is the last one, where they are removed from the start of the log.
+    /// Removes the entries of a range. Where they are removed from the start of the log, `purged` is the id of the last one.
     fn remove_entries(
         &self,
         range: impl RangeBounds<u64> + Clone,
@@ -233,8 +234,8 @@
         self.read_entries(range, usize::MAX).map_err(read_error)
     }
 
-    /// As many as one call to another replica carries: changes of the configuration are large, and a replica that lacks many
-    /// of them would never receive all at once.
+    /// Returns as many entries as one call to another replica carries: configuration changes are large, and a replica that
+    /// lacks many of them could not receive them all in one call.
     async fn limited_get_log_entries(
         &mut self,
         start: u64,
--- a/src/runtime/replica/stream_server.rs
+++ b/src/runtime/replica/stream_server.rs
@@ -1,7 +1,7 @@
-//! Serves streams: those of the other replicas, of nodes that fetch the configuration, and of operators' commands.
+//! Serves the streams of other replicas, of nodes that fetch the configuration, and of operators' commands.
 //!
-//! Each of the three has permits of its own, so that nodes that all fetch at once do not keep replicas from each other. A
-//! stream that falls silent loses its permit after [`SILENCE_TIMEOUT`], except a replica's.
+//! Each kind of peer has separate permits, so that many nodes fetching at once do not block the replicas. A stream without a
+//! request for [`IDLE_TIMEOUT`] is closed, except a replica's.
 
 use std::fmt::Display;
 use std::sync::Arc;
@@ -17,18 +17,19 @@
 use super::protocol::{ReplicaRequest, ReplicaResponse, encode_message, frame_stream};
 use super::server::ReplicaServer;
 
-/// Streams of other replicas at a time; each has one, and perhaps some that are about to end.
+/// Most streams of other replicas at a time; each replica has one, and possibly some that are closing.
 const REPLICA_STREAMS_MAX: usize = 64;
-/// Streams of operators' commands at a time.
+/// Most streams of operators' commands at a time.
 const COMMAND_STREAMS_MAX: usize = 8;
-/// Streams whose first request has not come yet.
+/// Most streams whose first request has not been received.
 const NEW_STREAMS_MAX: usize = 256;
-/// Time limit for a stream's first request, and for each further one of a node or a command.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failed accept, as the cause (often no file descriptors) lasts for a while.
+/// Time limit for a stream's first request, and for each further request of a node or a command, including the write of the
+/// response before it.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Wait after a failed accept, as the cause (often no free file descriptors) tends to persist.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The permits of each kind of peer.
+/// The permits to serve a stream, by kind of peer.
 struct StreamPermits {
     replicas: Arc<Semaphore>,
     nodes: Arc<Semaphore>,
@@ -36,7 +37,7 @@
 }
 
 impl StreamPermits {
-    /// With permits for so many nodes.
+    /// Permits for `nodes` streams of nodes, and the fixed numbers of the other kinds.
     fn new(nodes: usize) -> StreamPermits {
         let permits = |count| Arc::new(Semaphore::new(count));
         StreamPermits {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// A permit for the peer that sent this request. A replica waits for one; none for others where there is none now.
+    /// A permit for the peer that sent this request. A replica waits for a permit; other peers get `None` where none is free.
     async fn acquire(&self, request: &ReplicaRequest) -> Option<OwnedSemaphorePermit> {
         match request {
             ReplicaRequest::Config(request) if request.is_from_node() => {
@@ -58,10 +59,10 @@
     }
 }
 
-/// Accepts streams for as long as the process lives.
+/// Accepts streams until the task is aborted.
 pub(super) async fn serve(server: Arc<ReplicaServer>, listener: TcpListener) {
     let new_streams = Arc::new(Semaphore::new(NEW_STREAMS_MAX));
-    let nodes = server.fleet.catalog.map_or(COMMAND_STREAMS_MAX, |spread| spread.served);
+    let nodes = server.fleet.catalog.map_or(COMMAND_STREAMS_MAX, |settings| settings.served);
     let permits = Arc::new(StreamPermits::new(nodes));
     loop {
         let Ok(new_stream) = new_streams.clone().acquire_owned().await else { return };
@@ -78,7 +79,7 @@
     }
 }
 
-/// Answers one stream's requests until it ends or falls silent.
+/// Answers one stream's requests until it is closed or idle for too long.
 async fn serve_stream(
     server: &ReplicaServer,
     permits: &StreamPermits,
@@ -86,29 +87,29 @@
     new_stream: OwnedSemaphorePermit,
 ) {
     let mut stream = frame_stream(stream);
-    let Ok(Some(Ok(frame))) = timeout(SILENCE_TIMEOUT, stream.next()).await else { return };
+    let Ok(Some(Ok(frame))) = timeout(IDLE_TIMEOUT, stream.next()).await else { return };
     let Ok(mut request) = postcard::from_bytes::<ReplicaRequest>(&frame) else { return };
     let permit = permits.acquire(&request).await;
     drop(new_stream);
     let Some(_permit) = permit else {
         if let Ok(bytes) = encode_message(&ReplicaResponse::Config(ConfigResponse::Busy)) {
-            let _ = timeout(SILENCE_TIMEOUT, stream.send(bytes)).await;
+            let _ = timeout(IDLE_TIMEOUT, stream.send(bytes)).await;
         }
         return;
     };
     let is_replica = !matches!(request, ReplicaRequest::Config(_));
     loop {
         let Ok(bytes) = encode_message(&answer(server, request).await) else { return };
-        // Replicas keep their streams open; nodes and commands end theirs.
+        // Replicas keep their streams open; nodes and commands close theirs.
         let next = async {
             stream.send(bytes).await.ok()?;
             stream.next().await?.ok()
         };
-        let frame = if is_replica { next.await } else { timeout(SILENCE_TIMEOUT, next).await.ok().flatten() };
+        let frame = if is_replica { next.await } else { timeout(IDLE_TIMEOUT, next).await.ok().flatten() };
         let Some(Ok(next)) = frame.map(|frame| postcard::from_bytes::<ReplicaRequest>(&frame)) else {
             return;
         };
-        // A permit is for the kind of peer that it was given to.
+        // A permit is valid for one kind of peer: a stream that changes its kind is closed.
         if matches!(next, ReplicaRequest::Config(_)) == is_replica {
             return;
         }
@@ -122,7 +123,9 @@
         Err(e) => return reject(&e),
     };
     if joined.is_none() && !matches!(request, ReplicaRequest::JoinBootstrap(_)) {
-        return ReplicaResponse::Rejected("blank: this keeper takes part in nothing".to_owned());
+        return ReplicaResponse::Rejected(
+            "this keeper has joined no bootstrap and can't answer requests".to_owned(),
+        );
     }
     match request {
         ReplicaRequest::JoinBootstrap(bootstrap_id) => {
--- a/src/runtime/replica/version_inventory.rs
+++ b/src/runtime/replica/version_inventory.rs
@@ -1,7 +1,7 @@
-//! The configuration's part of a snapshot, behind the ledger: the oldest version stored, compressed, the changes since, and
-//! which version all nodes may have.
+//! The configuration's part of a Raft snapshot, which follows the ledger: the oldest stored version, compressed, the changes
+//! since, and the rollout decisions.
 //!
-//! A replica without a configuration writes nothing, so that its snapshot is the ledger alone; a snapshot of that form is read
+//! A replica without a configuration writes nothing, so that its snapshot is the ledger alone; a snapshot of this form is read
 //! as a configuration without records.
 
 use serde::{Deserialize, Serialize};
@@ -13,7 +13,7 @@
 };
 use crate::fleet::replica_state::CONFIG_RETENTION;
 
-/// The stored versions. Read and written by the order of the fields.
+/// The stored versions. The encoding depends on the order of the fields.
 #[derive(Serialize, Deserialize)]
 struct VersionInventory {
     /// The oldest version, compressed.
@@ -22,33 +22,35 @@
     changes: Vec<Vec<u8>>,
 }
 
-/// What was agreed about the versions. Absent in a snapshot from before rollouts in steps: all nodes had all versions.
+/// The agreed rollout decisions. Absent in a snapshot written before canary rollouts existed, when every version was approved.
 #[derive(Serialize, Deserialize)]
 struct RolloutDecisions {
-    good: Revision,
-    /// The good version, compressed, where it is older than all that are stored.
+    #[serde(rename = "good")]
+    approved: Revision,
+    /// The approved version, compressed, where it is older than all stored versions; otherwise empty.
     chunks: Vec<Vec<u8>>,
-    stopped: Option<RolloutHalted>,
+    #[serde(rename = "stopped")]
+    halted: Option<RolloutHalted>,
 }
 
 /// Why a configuration can't be stored in a snapshot or read from one.
 #[derive(Debug, thiserror::Error)]
 pub enum StoredConfigError {
-    /// A change can't be encoded, or does not fit the version before it.
+    /// A change can't be encoded, or can't be applied to the version before it.
     #[error(transparent)]
     Change(#[from] ChangeError),
-    /// Bytes are damaged.
+    /// The bytes are damaged.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// Chunks of a version are missing.
+    /// A version lacks chunks.
     #[error("it is not complete")]
     Incomplete,
-    /// The version that all nodes may have is neither among the stored ones nor on its own.
-    #[error("the good version is not there")]
-    GoodVersionMissing,
+    /// The approved version is neither among the stored versions nor stored separately.
+    #[error("the version released to all nodes is missing")]
+    ApprovedVersionMissing,
 }
 
-/// The bytes with the configuration appended.
+/// Appends the encoded history to the bytes of a ledger.
 ///
 /// # Errors
 /// [`LogStoreError`] where a part can't be encoded.
@@ -60,10 +62,10 @@
     let chunks = compress(history.oldest());
     let inventory = VersionInventory { chunks, changes: changes.map_err(StoredConfigError::from)? };
     let bytes = postcard::to_extend(&inventory, bytes)?;
-    let good = history.approved().revision();
-    let is_stored = good == Revision::default() || history.version(good).is_some();
+    let approved = history.approved().revision();
+    let is_stored = approved == Revision::default() || history.version(approved).is_some();
     let chunks = if is_stored { Vec::new() } else { compress(history.approved()) };
-    let decisions = RolloutDecisions { good, chunks, stopped: history.halted().cloned() };
+    let decisions = RolloutDecisions { approved, chunks, halted: history.halted().cloned() };
     Ok(postcard::to_extend(&decisions, bytes)?)
 }
 
@@ -81,10 +83,10 @@
     complete.ok_or(StoredConfigError::Incomplete)
 }
 
-/// The configuration in the bytes that follow the ledger.
+/// Decodes the history from the bytes that follow the ledger.
 ///
 /// # Errors
-/// [`LogStoreError`] where they are damaged or incomplete.
+/// [`LogStoreError`] where the bytes are damaged or incomplete.
 pub(super) fn read_history(bytes: &[u8]) -> Result<History, LogStoreError> {
     if bytes.is_empty() {
         return Ok(History::new(ConfigVersion::default(), CONFIG_RETENTION));
@@ -95,21 +97,24 @@
         let change = ChangeSet::decode(encoded).map_err(StoredConfigError::from)?;
         history.apply(&change).map_err(StoredConfigError::from)?;
     }
-    let (good, stopped) = if rest.is_empty() {
+    let (approved, halted) = if rest.is_empty() {
         (history.newest().clone(), None)
     } else {
         let decisions: RolloutDecisions = postcard::from_bytes(rest)?;
-        (good_version(&history, &decisions)?, decisions.stopped)
+        (approved_version(&history, &decisions)?, decisions.halted)
     };
-    history.restore_decisions(good, stopped);
+    history.restore_decisions(approved, halted);
     Ok(history)
 }
 
-fn good_version(history: &History, decisions: &RolloutDecisions) -> Result<ConfigVersion, StoredConfigError> {
-    if decisions.good == Revision::default() {
+fn approved_version(
+    history: &History,
+    decisions: &RolloutDecisions,
+) -> Result<ConfigVersion, StoredConfigError> {
+    if decisions.approved == Revision::default() {
         Ok(ConfigVersion::default())
     } else if decisions.chunks.is_empty() {
-        history.version(decisions.good).cloned().ok_or(StoredConfigError::GoodVersionMissing)
+        history.version(decisions.approved).cloned().ok_or(StoredConfigError::ApprovedVersionMissing)
     } else {
         decompress(&decisions.chunks)
     }
--- a/src/runtime/replica/zone_coordinator.rs
+++ b/src/runtime/replica/zone_coordinator.rs
@@ -1,7 +1,7 @@
-//! Zones on the side of a replica: collects what nodes report, has it evaluated while this replica leads, and notifies all
+//! The zone coordination of a replica: collects the nodes' reports, evaluates them while this replica leads, and notifies all
 //! nodes of a committed change at once.
 //!
-//! How zones stand is replicated state. The reports and the nodes' addresses are not: a new leader collects them anew.
+//! The zones' statuses are replicated. The reports and the nodes' addresses are not: a new leader collects them again.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,17 +21,17 @@
 use crate::zone::health_report::ZoneHealthReport;
 use crate::zone::{ZoneOrder, ZoneOrderError, ZoneStatusMap};
 
-/// Nodes that are notified; several times the fleet size that this is built for.
+/// Most nodes that are notified: several times the largest supported fleet.
 const NOTIFIED_NODES_MAX: usize = 16_384;
 
-/// Reports of zone health and the nodes that sent them.
+/// The nodes' reports of zone health, and the nodes' addresses.
 pub(super) struct ZoneCoordinator {
     evaluator: ZoneHealthEvaluator,
     /// The address of each node's last report.
     node_addresses: HashMap<String, SocketAddr>,
 }
 
-/// Which node sent a report, and from where.
+/// The sender of zone health reports.
 pub(super) struct ZoneReportSource<'a> {
     pub address: SocketAddr,
     pub node: &'a str,
@@ -42,11 +42,11 @@
 /// Why an operator's order was not carried out.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum OrderRejection {
-    /// The zones do not allow it.
+    /// The zones' current statuses do not allow the order.
     #[error(transparent)]
     NotAllowed(#[from] ZoneOrderError),
-    /// It was not committed within [`PROPOSAL_TIMEOUT`].
-    #[error("no majority of keepers agrees now")]
+    /// The order was not committed within [`PROPOSAL_TIMEOUT`].
+    #[error("no majority of keepers has committed the order in time")]
     NoMajority,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl ReplicaServer {
-    /// Calls a function with the coordinator; none where the fleet has no zones.
+    /// Calls a function with the coordinator; `None` where the fleet has no zones.
     fn with_zones<T>(&self, f: impl FnOnce(&mut ZoneCoordinator) -> T) -> Option<T> {
         let coordinator = self.zone_coordinator.as_ref()?;
         Some(f(&mut lock(coordinator)))
@@ -70,7 +70,7 @@
         self.state().ledger().zones().clone()
     }
 
-    /// Takes over other settings. Reports so far are dropped; nodes repeat them within a second.
+    /// Applies changed settings. Earlier reports are then dropped; nodes repeat them within a second.
     pub(super) fn reload_zones(&self, zones: &Zones) {
         self.with_zones(|coordinator| {
             if *coordinator.evaluator.settings() != zones.judged {
@@ -79,7 +79,8 @@
         });
     }
 
-    /// Takes a node's reports. The answer has the zones' epoch, and their statuses where the node knows another epoch.
+    /// Records a node's reports. Returns the answer with the zones' epoch, and their statuses where the node knows another
+    /// epoch; `None` where the fleet has no zones.
     pub(super) fn note_zone_reports(
         &self,
         source: &ZoneReportSource<'_>,
@@ -113,7 +114,8 @@
         });
     }
 
-    /// Evaluates the reports and has a change committed; for the leader. An evaluation that is not committed is repeated.
+    /// Evaluates the reports and commits a change of the statuses; called by the leader only. A change that is not committed is
+    /// evaluated again at the next call.
     pub(super) async fn evaluate_zones(&self, socket: &UdpSocket) {
         let (now, statuses) = (Micros(self.clock.now().0), self.zone_statuses());
         let evaluated = self.with_zones(|coordinator| coordinator.evaluator.evaluate(now, &statuses));
@@ -127,7 +129,7 @@
         reasons.iter().for_each(|reason| log_transition(epoch, reason));
     }
 
-    /// Carries out an operator's order.
+    /// Commits an operator's order for a zone and notifies the nodes.
     ///
     /// # Errors
     /// [`OrderRejection`]; after [`OrderRejection::NoMajority`] it may still be committed later.
