--- a/src/runtime/replica/golden_data_tests.rs
+++ b/src/runtime/replica/golden_data_tests.rs
@@ -29,18 +29,18 @@
 const REQUESTS_SHOWN: usize = 6;
 
 /// The fixture's folder, unpacked; gone with its test.
-struct Unpacked(PathBuf);
+struct UnpackedFixture(PathBuf);
 
-impl Unpacked {
-    fn new(name: &str) -> Unpacked {
+impl UnpackedFixture {
+    fn new(name: &str) -> UnpackedFixture {
         let folder = std::env::temp_dir().join(format!("holdlift-golden-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         std::fs::write(folder.join("book.redb"), file_bytes()).expect("a file");
-        Unpacked(folder)
+        UnpackedFixture(folder)
     }
 }
 
-impl Drop for Unpacked {
+impl Drop for UnpackedFixture {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -59,31 +59,32 @@
     let ms = Micros::from_millis;
     let bounds = LeaseBounds { lease_duration: ms(1_000), drift: 0.01, transit: ms(20) };
     let replica_state = Arc::new(Mutex::new(ReplicaState::new(bounds, Vec::new())));
-    let (news, _) = watch::channel(());
-    let machine = StateMachineStore::load(store.clone(), replica_state.clone(), LeaseClock::new(1.0), news);
+    let (config_changed, _) = watch::channel(());
+    let machine =
+        StateMachineStore::load(store.clone(), replica_state.clone(), LeaseClock::new(1.0), config_changed);
     (store, machine.expect("the snapshot is read"), replica_state)
 }
 
-fn yes(x: bool) -> &'static str {
-    if x { "yes" } else { "no" }
+fn yes_or_no(value: bool) -> &'static str {
+    if value { "yes" } else { "no" }
 }
 
-fn place(log_id: LogId<u64>) -> String {
+fn log_id_text(log_id: LogId<u64>) -> String {
     format!(
         "entry {} of term {} by replica {}",
         log_id.index, log_id.leader_id.term, log_id.leader_id.node_id
     )
 }
 
-fn maybe_place(log_id: Option<LogId<u64>>) -> String {
-    log_id.map_or_else(|| "none".to_owned(), place)
+fn optional_log_id_text(log_id: Option<LogId<u64>>) -> String {
+    log_id.map_or_else(|| "none".to_owned(), log_id_text)
 }
 
-fn holder(of: &LeaseHolderId) -> String {
+fn holder_text(of: &LeaseHolderId) -> String {
     format!("{} process {}", of.name, of.incarnation)
 }
 
-fn capacity(of: &BudgetCapacity) -> String {
+fn capacity_text(of: &BudgetCapacity) -> String {
     let scope = match &of.scope {
         CapacityScope::Fixed => "fixed".to_owned(),
         CapacityScope::Zones => "of all zones together".to_owned(),
@@ -92,7 +93,7 @@
     format!("{}: {} in all, {} for each node at least, {scope}", of.budget, of.capacity, of.min_share)
 }
 
-fn operator_order(order: ZoneOrder) -> &'static str {
+fn zone_order_text(order: ZoneOrder) -> &'static str {
     match order {
         ZoneOrder::Leave => "leave",
         ZoneOrder::Return => "return",
@@ -100,7 +101,7 @@
     }
 }
 
-fn zone(of: &ZoneStatus) -> String {
+fn zone_text(of: &ZoneStatus) -> String {
     let state = match of.state {
         ZoneState::In => "in service",
         ZoneState::Suspect => "suspect",
@@ -108,12 +109,12 @@
         ZoneState::Probing => "probing",
         ZoneState::Returning => "returning",
     };
-    let order = of.order.map_or("none", operator_order);
+    let order = of.order.map_or("none", zone_order_text);
     let ZoneStatus { zone, weight, consecutive_failures: times, .. } = of;
     format!("{zone}: {state}, weight {weight} of 1000, {times} failures in a row, order {order}")
 }
 
-fn change(of: &ChangeSet) -> String {
+fn change_text(of: &ChangeSet) -> String {
     format!(
         "version {} from version {}: {} set, {} removed, digest {}, by {}, at {}, note \"{}\"",
         of.resulting_revision(),
@@ -127,8 +128,8 @@
     )
 }
 
-fn harm(of: &BTreeMap<String, CanaryFailure>) -> String {
-    let one = |(node, harm): (&String, &CanaryFailure)| match harm {
+fn failures_text(of: &BTreeMap<String, CanaryFailure>) -> String {
+    let one = |(node, failure): (&String, &CanaryFailure)| match failure {
         CanaryFailure::Rejected(why) => format!("{node} refused it ({why})"),
         CanaryFailure::Unresponsive => format!("{node} fell silent"),
         CanaryFailure::Restarted => format!("{node} started again"),
@@ -136,7 +137,7 @@
     of.iter().map(one).collect::<Vec<_>>().join(", ")
 }
 
-fn kind(of: RecordKind) -> &'static str {
+fn record_kind_text(of: RecordKind) -> &'static str {
     match of {
         RecordKind::Class => "class",
         RecordKind::Tenant => "tenant",
@@ -146,7 +147,7 @@
     }
 }
 
-fn record(of: &Record) -> String {
+fn record_text(of: &Record) -> String {
     match of {
         Record::Class(c) => {
             let effect = match c.effect {
@@ -164,160 +165,166 @@
                 c.late_weight.get(),
                 c.weight.get(),
                 c.repeat_window.0,
-                yes(c.may_call_dependencies),
+                yes_or_no(c.may_call_dependencies),
                 c.weight_without_call.get()
             )
         }
         Record::Tenant(t) => format!("tenant {}: quota {} a second", t.name.as_str(), t.quota_per_s.get()),
-        other => format!("{} {}", kind(other.kind()), other.name().as_str()),
+        other => format!("{} {}", record_kind_text(other.kind()), other.name().as_str()),
     }
 }
 
 /// An entry's kind and its content.
-fn entry(of: &LedgerEntry) -> (&'static str, String) {
+fn ledger_entry_text(of: &LedgerEntry) -> (&'static str, String) {
     match of {
         LedgerEntry::Capacities(all) => {
-            ("capacities", all.iter().map(capacity).collect::<Vec<_>>().join("; "))
+            ("capacities", all.iter().map(capacity_text).collect::<Vec<_>>().join("; "))
         }
         LedgerEntry::LeaseRequests(all) => {
-            ("lease requests", all.iter().map(request).collect::<Vec<_>>().join("; "))
+            ("lease requests", all.iter().map(lease_request_text).collect::<Vec<_>>().join("; "))
         }
         LedgerEntry::ExpireLeases(all) => {
             let one = |s: &crate::fleet::lease::ledger::ExpiredLease| {
-                format!("{} of {}, last request {}", s.budget, holder(&s.holder), s.seq)
+                format!("{} of {}, last request {}", s.budget, holder_text(&s.holder), s.seq)
             };
             ("expired leases", all.iter().map(one).collect::<Vec<_>>().join("; "))
         }
         LedgerEntry::ZoneUpdate(c) => {
-            let zones: Vec<String> = c.statuses.iter().map(zone).collect();
+            let zones: Vec<String> = c.statuses.iter().map(zone_text).collect();
             ("zone states", format!("decided on epoch {}: {}", c.base_epoch, zones.join("; ")))
         }
         LedgerEntry::ZoneOrder { zone, order } => {
-            ("zone order", format!("{zone}: {}", operator_order(*order)))
+            ("zone order", format!("{zone}: {}", zone_order_text(*order)))
         }
         LedgerEntry::ConfigChange(packed) => {
-            ("configuration change", change(&packed.decompress().expect("a change")))
+            ("configuration change", change_text(&packed.decompress().expect("a change")))
         }
         LedgerEntry::RolloutDecision(RolloutDecision::Approved(of)) => {
             ("rollout decision", format!("version {of} may go to all nodes"))
         }
         LedgerEntry::RolloutDecision(RolloutDecision::Halted(s)) => {
-            ("rollout decision", format!("version {} is stopped: {}", s.revision, harm(&s.failures)))
+            ("rollout decision", format!("version {} is stopped: {}", s.revision, failures_text(&s.failures)))
         }
     }
 }
 
-fn request(of: &LeaseRequest) -> String {
+fn lease_request_text(of: &LeaseRequest) -> String {
     let one = |l: &crate::fleet::lease::ledger::BudgetDemand| {
         format!("{} holds {} wants {}", l.budget, l.retained, l.demand)
     };
     let lines: Vec<String> = of.demands.iter().map(one).collect();
     format!(
         "{} request {}, has seen {}, valid lease {}, weight {}, leaving {} [{}]",
-        holder(&of.holder),
+        holder_text(&of.holder),
         of.seq,
         of.acknowledged_seq,
-        yes(of.has_valid_lease),
+        yes_or_no(of.has_valid_lease),
         of.weight,
-        yes(of.is_leaving),
+        yes_or_no(of.is_leaving),
         lines.join(", ")
     )
 }
 
-fn membership(of: &Membership<u64, BasicNode>) -> String {
+fn membership_text(of: &Membership<u64, BasicNode>) -> String {
     let voters: Vec<String> = of.voter_ids().map(|v| v.to_string()).collect();
     let nodes: Vec<String> = of.nodes().map(|(n, node)| format!("{n} at {}", node.addr)).collect();
     format!("voters {}; replicas {}", voters.join(", "), nodes.join(", "))
 }
 
-fn catalog(of: &ConfigVersion) -> String {
+fn version_text(of: &ConfigVersion) -> String {
     format!("version {}, digest {}", of.revision(), of.digest())
 }
 
 /// The agreed state.
-fn state(out: &mut String, book: &LeaseLedger, history: &History) {
+fn write_state(out: &mut String, ledger: &LeaseLedger, history: &History) {
     let mut line = |text: String| writeln!(out, "  {text}").expect("memory");
-    line(format!("entries of the ledger: {}", book.epoch));
-    for whole in book.capacities() {
-        line(format!("capacity {}", capacity(&whole)));
+    line(format!("entries of the ledger: {}", ledger.epoch));
+    for budget_capacity in ledger.capacities() {
+        line(format!("capacity {}", capacity_text(&budget_capacity)));
     }
-    for (budget, whole, lent) in book.usage() {
-        line(format!("budget {budget}: {whole} as the zones are, {lent} leased"));
+    for (budget, capacity, leased) in ledger.usage() {
+        line(format!("budget {budget}: {capacity} as the zones are, {leased} leased"));
     }
-    for (budget, of, lease) in book.leases() {
-        line(format!("lease on {budget} of {}: {}", holder(of), golden_tests::in_words(lease)));
+    for (budget, of, lease) in ledger.leases() {
+        line(format!("lease on {budget} of {}: {}", holder_text(of), golden_tests::in_words(lease)));
     }
-    line(format!("zones, epoch {}", book.zones().epoch));
-    for of in &book.zones().statuses {
-        line(format!("zone {}", zone(of)));
+    line(format!("zones, epoch {}", ledger.zones().epoch));
+    for of in &ledger.zones().statuses {
+        line(format!("zone {}", zone_text(of)));
     }
-    line(format!("oldest configuration: {}", catalog(history.oldest())));
+    line(format!("oldest configuration: {}", version_text(history.oldest())));
     for of in history.changes() {
-        line(format!("configuration {}", change(of)));
+        line(format!("configuration {}", change_text(of)));
         for set in &of.set {
-            line(format!("  sets {}", record(set)));
+            line(format!("  sets {}", record_text(set)));
         }
         for key in &of.remove {
-            line(format!("  removes {} {}", kind(key.kind), key.name.as_str()));
+            line(format!("  removes {} {}", record_kind_text(key.kind), key.name.as_str()));
         }
     }
-    line(format!("newest configuration: {}", catalog(history.newest())));
+    line(format!("newest configuration: {}", version_text(history.newest())));
     for of in history.newest().records() {
-        line(format!("  {}", record(of)));
+        line(format!("  {}", record_text(of)));
     }
-    line(format!("configuration for all nodes: {}", catalog(history.approved())));
-    let stopped = history.halted().map(|s| format!("version {}: {}", s.revision, harm(&s.failures)));
+    line(format!("configuration for all nodes: {}", version_text(history.approved())));
+    let stopped = history.halted().map(|s| format!("version {}: {}", s.revision, failures_text(&s.failures)));
     line(format!("stopped configuration: {}", stopped.unwrap_or_else(|| "none".to_owned())));
 }
 
-fn agreed_state(out: &mut String, title: &str, replica_state: &Mutex<ReplicaState>) {
+fn write_replica_state(out: &mut String, title: &str, replica_state: &Mutex<ReplicaState>) {
     writeln!(out, "{title}").expect("memory");
     let replica_state = replica_state.lock().expect("no panic");
-    state(out, replica_state.ledger(), replica_state.history());
+    write_state(out, replica_state.ledger(), replica_state.history());
 }
 
 /// All that is in a replica's folder, in words.
-async fn content(folder: &Path) -> String {
+async fn folder_text(folder: &Path) -> String {
     let (mut store, mut machine, replica_state) = replica(folder);
     let mut out = String::new();
     writeln!(out, "founding: {}", store.bootstrap_id().expect("read").expect("it has one")).expect("memory");
     let vote = store.read_vote().await.expect("read").expect("it has one");
     let (term, by) = (vote.leader_id.term, vote.leader_id.node_id);
-    writeln!(out, "vote: term {term}, for replica {by}, of a majority {}", yes(vote.committed))
+    writeln!(out, "vote: term {term}, for replica {by}, of a majority {}", yes_or_no(vote.committed))
         .expect("memory");
     let log = store.get_log_state().await.expect("read");
-    writeln!(out, "log removed up to: {}", maybe_place(log.last_purged_log_id)).expect("memory");
-    writeln!(out, "log ends with: {}", maybe_place(log.last_log_id)).expect("memory");
+    writeln!(out, "log removed up to: {}", optional_log_id_text(log.last_purged_log_id)).expect("memory");
+    writeln!(out, "log ends with: {}", optional_log_id_text(log.last_log_id)).expect("memory");
 
     let snapshot = machine.get_current_snapshot().await.expect("read").expect("it has one");
     writeln!(
         out,
         "snapshot: {}, up to {}",
         snapshot.meta.snapshot_id,
-        maybe_place(snapshot.meta.last_log_id)
+        optional_log_id_text(snapshot.meta.last_log_id)
     )
     .expect("memory");
     let of = &snapshot.meta.last_membership;
-    writeln!(out, "  membership of {}: {}", maybe_place(*of.log_id()), membership(of.membership()))
-        .expect("memory");
-    agreed_state(&mut out, "state in the snapshot", &replica_state);
+    writeln!(
+        out,
+        "  membership of {}: {}",
+        optional_log_id_text(*of.log_id()),
+        membership_text(of.membership())
+    )
+    .expect("memory");
+    write_replica_state(&mut out, "state in the snapshot", &replica_state);
 
     let entries = store.try_get_log_entries(0..).await.expect("read");
-    words_of_the_log(&mut out, &entries);
+    write_log_entries(&mut out, &entries);
     let from = snapshot.meta.last_log_id.map_or(0, |l| l.index + 1);
     let later: Vec<_> = entries.into_iter().filter(|e| e.log_id.index >= from).collect();
-    let answers = machine.apply(later).await.expect("applied");
-    let refused: Vec<String> = answers.into_iter().filter_map(|a| a.apply_outcome?.err()).collect();
-    writeln!(out, "refused when the log is applied: {}", refused.join(", ")).expect("memory");
-    agreed_state(&mut out, "state after the log", &replica_state);
+    let results = machine.apply(later).await.expect("applied");
+    let rejections: Vec<String> =
+        results.into_iter().filter_map(|result| result.apply_outcome?.err()).collect();
+    writeln!(out, "refused when the log is applied: {}", rejections.join(", ")).expect("memory");
+    write_replica_state(&mut out, "state after the log", &replica_state);
     out
 }
 
-fn words_of_the_log(out: &mut String, entries: &[openraft::Entry<Raft>]) {
+fn write_log_entries(out: &mut String, entries: &[openraft::Entry<Raft>]) {
     let words = |e: &openraft::Entry<Raft>| match &e.payload {
         EntryPayload::Blank => ("a leader's first entry", String::new()),
-        EntryPayload::Membership(m) => ("membership", membership(m)),
-        EntryPayload::Normal(of) => entry(of),
+        EntryPayload::Membership(m) => ("membership", membership_text(m)),
+        EntryPayload::Normal(of) => ledger_entry_text(of),
     };
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for e in entries {
@@ -334,23 +341,23 @@
         let (kind, text) = words(e);
         match left.get_mut(kind) {
             Some(n) if *n > 0 => *n -= 1,
-            _ => writeln!(out, "  {}: {kind}: {text}", place(e.log_id)).expect("memory"),
+            _ => writeln!(out, "  {}: {kind}: {text}", log_id_text(e.log_id)).expect("memory"),
         }
     }
 }
 
 /// The fixture is the file that the program of that commit wrote, and not one written anew.
 #[test]
-fn the_fixture_is_the_one_that_was_written_then() {
+fn the_fixture_has_the_size_and_checksum_of_its_creation() {
     let bytes = file_bytes();
     assert_eq!((bytes.len(), crc32fast::hash(&bytes)), (17_346_560, 2_355_118_027));
 }
 
 /// Founding, vote, log, snapshot, leases, capacities, zones and versions.
 #[tokio::test]
-async fn a_folder_of_a_former_program_is_read_the_same() {
-    let folder = Unpacked::new("read");
-    let seen = content(&folder.0).await;
+async fn a_folder_written_by_an_earlier_program_is_read_the_same() {
+    let folder = UnpackedFixture::new("read");
+    let seen = folder_text(&folder.0).await;
     let expected = std::fs::read_to_string(Path::new(FIXTURE).join("expected.txt")).expect("a file");
     if seen != expected {
         let (mut differing, mut wanted) = (String::new(), expected.lines());
@@ -367,8 +374,8 @@
 
 /// A rollback to a version from before the snapshot is agreed, and makes the records of that version.
 #[tokio::test]
-async fn a_former_version_comes_back_on_a_former_programs_folder() {
-    let folder = Unpacked::new("rollback");
+async fn a_rollback_on_a_folder_of_an_earlier_program_restores_the_version() {
+    let folder = UnpackedFixture::new("rollback");
     let (mut store, mut machine, replica_state) = replica(&folder.0);
     let applied = machine.applied_state().await.expect("read").0.map_or(0, |l| l.index + 1);
     let entries = store.try_get_log_entries(applied..).await.expect("read");
@@ -377,13 +384,13 @@
     let by = ChangeAuthor { author: "north".to_owned(), note: "back".to_owned(), at: 1_800_000_000 };
     let back = replica_state.history().draft_rollback(Revision(2), by).expect("version 2 is kept");
     assert_eq!(
-        change(&back),
+        change_text(&back),
         "version 6 from version 5: 3 set, 1 removed, digest dc5ac018e69dbe4f, by north, at 1800000000, note \"back\""
     );
-    let (told, ruling) = replica_state.apply_with_outcome(
+    let (lease_responses, outcome) = replica_state.apply_with_outcome(
         LeaseInstant(1),
         &LedgerEntry::ConfigChange(CompressedChange::compress(&back).expect("packed")),
     );
-    assert_eq!((told, ruling), (Vec::new(), Some(Ok(Revision(6)))));
-    assert_eq!(catalog(replica_state.history().newest()), "version 6, digest dc5ac018e69dbe4f");
+    assert_eq!((lease_responses, outcome), (Vec::new(), Some(Ok(Revision(6)))));
+    assert_eq!(version_text(replica_state.history().newest()), "version 6, digest dc5ac018e69dbe4f");
 }
--- a/src/runtime/replica/leadership_log/tests.rs
+++ b/src/runtime/replica/leadership_log/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Each time is logged once, also where no look falls between the loss of one lead and the next.
+/// A replica that loses and regains the lead between two checks leads in another term, which must be logged too.
 #[test]
-fn each_leadership_is_logged_once() {
+fn each_change_of_the_leading_term_is_logged_once() {
     let mut logged = LoggedLeadership::default();
     let terms = [None, Some(3), Some(3), Some(7), None, None, Some(8)];
     let lines: Vec<String> = terms.into_iter().filter_map(|term| logged.update(term)).collect();
--- a/src/runtime/replica/store/golden_tests.rs
+++ b/src/runtime/replica/store/golden_tests.rs
@@ -47,21 +47,24 @@
 }
 
 fn halted() -> RolloutHalted {
-    let harm = [
+    let failures = [
         ("node-1", CanaryFailure::Rejected("no room".into())),
         ("node-2", CanaryFailure::Unresponsive),
         ("node-3", CanaryFailure::Restarted),
     ];
-    RolloutHalted { revision: Revision(3), failures: harm.map(|(node, harm)| (node.to_owned(), harm)).into() }
+    RolloutHalted {
+        revision: Revision(3),
+        failures: failures.map(|(node, failure)| (node.to_owned(), failure)).into(),
+    }
 }
 
 /// With a version halted, and the one that all nodes may have older than all that are kept.
-fn history_behind_what_is_kept() -> History {
-    let full = history();
-    let good = full.version(Revision(1)).expect("kept").clone();
-    let mut history = History::new(full.version(Revision(2)).expect("kept").clone(), CONFIG_RETENTION);
+fn history_with_old_approved_version() -> History {
+    let complete = history();
+    let approved = complete.version(Revision(1)).expect("kept").clone();
+    let mut history = History::new(complete.version(Revision(2)).expect("kept").clone(), CONFIG_RETENTION);
     history.apply(&next_change(history.newest(), "north")).expect("applied");
-    history.restore_decisions(good, Some(halted()));
+    history.restore_decisions(approved, Some(halted()));
     history
 }
 
@@ -85,14 +88,19 @@
 #[test]
 fn a_stored_snapshot_has_the_pinned_bytes() {
     let mut pinned = Pinned::of("stored-snapshot");
-    let tail = Codec::<History> {
+    let history_codec = Codec::<History> {
         encode: |history| version_inventory::append_history(Vec::new(), history).expect("bytes"),
         decode: |bytes| version_inventory::read_history(bytes).ok(),
     };
-    let none = History::new(ConfigVersion::default(), CONFIG_RETENTION);
-    pinned.value_by("configuration-none", &none, &tail, same_history);
-    pinned.value_by("configuration-three-versions", &history(), &tail, same_history);
-    pinned.value_by("configuration-halted", &history_behind_what_is_kept(), &tail, same_history);
+    let empty = History::new(ConfigVersion::default(), CONFIG_RETENTION);
+    pinned.value_by("configuration-none", &empty, &history_codec, same_history);
+    pinned.value_by("configuration-three-versions", &history(), &history_codec, same_history);
+    pinned.value_by(
+        "configuration-halted",
+        &history_with_old_approved_version(),
+        &history_codec,
+        same_history,
+    );
 
     let bytes = postcard::to_allocvec(&ledger()).expect("bytes");
     let bytes = version_inventory::append_history(bytes, &history()).expect("bytes");
@@ -119,7 +127,7 @@
         .expect("written");
     drop(store);
 
-    let raw = Codec::<Vec<u8>> { encode: Vec::clone, decode: |bytes| Some(bytes.to_vec()) };
+    let byte_codec = Codec::<Vec<u8>> { encode: Vec::clone, decode: |bytes| Some(bytes.to_vec()) };
     let file = Database::open(folder.join("book.redb")).expect("the file");
     let read = file.begin_read().expect("a look");
     let mut tables: Vec<String> = {
@@ -131,12 +139,12 @@
     let log = read.open_table(TableDefinition::<u64, &[u8]>::new("log")).expect("the log");
     for row in log.iter().expect("rows") {
         let (index, bytes) = row.expect("a row");
-        pinned.value(&format!("log-{}", index.value()), &bytes.value().to_vec(), &raw);
+        pinned.value(&format!("log-{}", index.value()), &bytes.value().to_vec(), &byte_codec);
     }
     let meta = read.open_table(TableDefinition::<&str, &[u8]>::new("meta")).expect("the rest");
     for row in meta.iter().expect("rows") {
         let (key, bytes) = row.expect("a row");
-        pinned.value(&format!("meta-{}", key.value()), &bytes.value().to_vec(), &raw);
+        pinned.value(&format!("meta-{}", key.value()), &bytes.value().to_vec(), &byte_codec);
     }
     drop((log, meta, read, file));
     let _ = std::fs::remove_dir_all(&folder);
--- a/src/runtime/replica/store/tests.rs
+++ b/src/runtime/replica/store/tests.rs
@@ -3,13 +3,16 @@
 use super::*;
 use crate::fleet::lease::ledger::LedgerEntry;
 
-/// A call to a keeper that lacks much holds what fits it, and one entry at the least, however large.
+/// A replica that lags is sent at most [`protocol::ENTRIES_BYTES_MAX`] of entries in a call, but at least one entry however
+/// large.
 #[tokio::test]
-async fn entries_for_one_call_are_bounded() {
+async fn entries_of_one_call_are_limited_by_bytes() {
     let folder = std::env::temp_dir().join(format!("holdlift-store-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let mut store = LogStore::open(&folder).expect("a disk");
-    let packed = |n: usize| postcard::from_bytes(&postcard::to_allocvec(&vec![7u8; n]).expect("bytes"));
+    std::fs::create_dir_all(&folder).expect("the temporary folder is created");
+    let mut store = LogStore::open(&folder).expect("the log store opens");
+    let compressed_change = |bytes: usize| {
+        postcard::from_bytes(&postcard::to_allocvec(&vec![7u8; bytes]).expect("a byte vector is encoded"))
+    };
     let sizes = [
         100,
         protocol::ENTRIES_BYTES_MAX / 2,
@@ -20,54 +23,67 @@
     ];
     store
         .write(|log, _| {
-            for (i, size) in sizes.iter().enumerate() {
+            for (index, size) in sizes.iter().enumerate() {
                 let entry: openraft::Entry<Raft> = openraft::Entry {
-                    log_id: LogId::new(openraft::CommittedLeaderId::new(1, 1), i as u64),
-                    payload: EntryPayload::Normal(LedgerEntry::ConfigChange(packed(*size).expect("bytes"))),
+                    log_id: LogId::new(openraft::CommittedLeaderId::new(1, 1), index as u64),
+                    payload: EntryPayload::Normal(LedgerEntry::ConfigChange(
+                        compressed_change(*size).expect("a byte vector decodes as a compressed change"),
+                    )),
                 };
-                log.insert(i as u64, &postcard::to_allocvec(&entry)?[..])?;
+                log.insert(index as u64, &postcard::to_allocvec(&entry)?[..])?;
             }
             Ok(())
         })
-        .expect("written");
+        .expect("the entries are written");
     let mut from = 0;
-    let mut calls = Vec::new();
+    let mut entries_per_call = Vec::new();
     while from < sizes.len() as u64 {
-        let entries = store.limited_get_log_entries(from, sizes.len() as u64).await.expect("read");
+        let entries = store.limited_get_log_entries(from, sizes.len() as u64).await.expect("the log is read");
         from += entries.len() as u64;
-        calls.push(entries.len());
+        entries_per_call.push(entries.len());
     }
-    assert_eq!(calls, [2, 1, 1, 2]);
-    assert_eq!(store.try_get_log_entries(0..6).await.expect("read").len(), 6, "all, where all are asked for");
+    assert_eq!(entries_per_call, [2, 1, 1, 2]);
+    assert_eq!(
+        store.try_get_log_entries(0..6).await.expect("the log is read").len(),
+        6,
+        "a read without a limit returns all entries"
+    );
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// What a keeper holds of its file has a bound of its own, however much of it is written and read again.
+/// The database's cache is limited, so that writing and reading a large file does not load all of it into memory.
 #[test]
-fn the_file_is_not_held_in_memory() {
+fn memory_stays_bounded_while_a_large_file_is_written_and_read() {
     let folder = std::env::temp_dir().join(format!("holdlift-cache-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the temporary folder is created");
     let resident_mb = || {
-        let text = std::fs::read_to_string("/proc/self/statm").expect("the system's figures");
-        let pages: usize = text.split(' ').nth(1).and_then(|n| n.parse().ok()).expect("a figure");
+        let text = std::fs::read_to_string("/proc/self/statm").expect("/proc/self/statm is readable");
+        let pages: usize = text
+            .split(' ')
+            .nth(1)
+            .and_then(|pages| pages.parse().ok())
+            .expect("statm has the resident pages as its second field");
         (pages * 4_096) >> 20
     };
-    let store = LogStore::open(&folder).expect("a disk");
+    let store = LogStore::open(&folder).expect("the log store opens");
     let before = resident_mb();
     let bytes = vec![7u8; 32 << 10];
-    for n in 0..160u64 {
+    for batch in 0..160u64 {
         let write = |log: &mut redb::Table<u64, &[u8]>| {
-            (0..32).try_for_each(|i| log.insert(n * 32 + i, &bytes[..]).map(drop))
+            (0..32).try_for_each(|i| log.insert(batch * 32 + i, &bytes[..]).map(drop))
         };
-        store.write(|log, _| Ok(write(log)?)).expect("written");
+        store.write(|log, _| Ok(write(log)?)).expect("a batch of entries is written");
     }
-    let read = store.0.begin_read().expect("a look");
-    let table = read.open_table(LOG).expect("the log");
-    let sum: usize =
-        table.range::<u64>(..).expect("rows").map(|row| row.expect("a row").1.value().len()).sum();
+    let read = store.0.begin_read().expect("a read transaction begins");
+    let table = read.open_table(LOG).expect("the log table exists");
+    let sum: usize = table
+        .range::<u64>(..)
+        .expect("the log is scanned")
+        .map(|row| row.expect("each row is read").1.value().len())
+        .sum();
     assert_eq!(sum, 160 << 20);
-    let grown = resident_mb().saturating_sub(before);
-    // Other tests of this process take their part of it.
-    assert!(grown < 80, "{grown} MB more, of a file of {} MB", sum >> 20);
+    let growth_mb = resident_mb().saturating_sub(before);
+    // Tests that run in the same process may add to the growth.
+    assert!(growth_mb < 80, "resident memory grew by {growth_mb} MB for a file of {} MB", sum >> 20);
     let _ = std::fs::remove_dir_all(&folder);
 }
