--- a/src/config_store/canary.rs
+++ b/src/config_store/canary.rs
@@ -3,8 +3,8 @@
 //! It halts versions that can be applied but that nodes can't run with. Nodes that already have such a version keep it until
 //! a later one arrives, as revisions never decrease.
 //!
-//! The leading replica owns the state. It only proposes a [`RolloutDecision`]; a decision takes effect once the replicas have
-//! agreed on it, so that the next leader continues from there. There is no I/O and no clock: callers pass the time.
+//! The leading replica owns the state. It only proposes a [`RolloutDecision`]; a decision takes effect once the replicas
+//! have agreed on it, so that the next leader continues from there. There is no I/O and no clock: callers pass the time.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -31,8 +31,8 @@
     pub probation: Micros,
     /// A canary without a report for this long has failed.
     pub report_timeout: Micros,
-    /// Nodes fetch a version at a random time within this window. A canary that neither adopts nor rejects the version within
-    /// the report timeout and this window is replaced by another node.
+    /// Nodes fetch a version at a random time within this window. A canary that neither adopts nor rejects the version
+    /// within the report timeout and this window is replaced by another node.
     pub fetch_window: Micros,
     /// This many failed canaries halt the version; fewer where there are fewer canaries.
     pub failure_limit: usize,
@@ -104,8 +104,8 @@
     }
 }
 
-/// The test of the newest version on its canaries. Canaries always get the newest version. Each version has its own probation, so a change does not wait for the trial of
-/// the change before it.
+/// The test of the newest version on its canaries. Canaries always get the newest version. Each version has its own
+/// probation, so a change does not wait for the trial of the change before it.
 #[derive(Clone, Debug)]
 struct Trial {
     /// The newest version that canaries are notified of.
@@ -299,8 +299,8 @@
         self.approved
     }
 
-    /// The newest version that is decided: approved, halted or withdrawn. Neither it nor earlier versions are tested any more,
-    /// though some nodes still report them.
+    /// The newest version that is decided: approved, halted or withdrawn. Neither it nor earlier versions are tested any
+    /// more, though some nodes still report them.
     fn settled_revision(&self) -> Revision {
         let settled = self.approved.max(self.withdrawn);
         self.halted.as_ref().map_or(settled, |halted| halted.revision.max(settled))
@@ -399,7 +399,8 @@
         }
     }
 
-    /// Selects further canaries up to `wanted`, by a hash of the name and the version, so that each version gets different canaries.
+    /// Selects further canaries up to `wanted`, by a hash of the name and the version, so that each version gets different
+    /// canaries.
     fn select_canaries(&self, now: Micros, trial: &mut Trial, wanted: usize) {
         let missing = wanted.saturating_sub(trial.canaries.len());
         if missing == 0 {
--- a/src/config_store/draft.rs
+++ b/src/config_store/draft.rs
@@ -28,10 +28,12 @@
     }
 }
 
-/// The change after which `from` has exactly these records of the kinds in `covers`. Records of other kinds stay as they are.
+/// The change after which `from` has exactly these records of the kinds in `covers`. Records of other kinds stay as they
+/// are.
 ///
 /// # Errors
-/// [`ChangeError::Empty`] where the version has exactly these records already; otherwise why the version would reject the change.
+/// [`ChangeError::Empty`] where the version has exactly these records already; otherwise why the version would reject the
+/// change.
 pub fn diff(
     from: &ConfigVersion,
     records: &[Record],
--- a/src/config_store/error.rs
+++ b/src/config_store/error.rs
@@ -57,7 +57,7 @@
     #[error("it changes nothing")]
     Empty,
     /// The change removes a record that does not exist.
-    #[error("{0} does not exist and can't be removed")]
+    #[error("{0} is not there to be removed")]
     RecordNotFound(RecordKey),
     /// The change contains one record twice.
     #[error("{0} is in the change twice")]
--- a/src/config_store/file_format.rs
+++ b/src/config_store/file_format.rs
@@ -1,7 +1,7 @@
 //! Reads an operator's file as records.
 //!
-//! The format is that of the platform's settings: `classes`, `accounts`, and `domain` with lists of what each class calls, at
-//! the top or under `settings`. Other keys are ignored. Errors name the file and the line.
+//! The format is that of the platform's settings: `classes`, `accounts`, and `domain` with lists of what each class calls,
+//! at the top or under `settings`. Other keys are ignored. Errors name the file and the line.
 
 use std::collections::HashMap;
 
@@ -41,8 +41,8 @@
 }
 
 impl ConfigFile {
-    /// Turns a version's rejection of the file's records into an error with the line of the record concerned, or line 1 where
-    /// the rejection concerns no single record.
+    /// Turns a version's rejection of the file's records into an error with the line of the record concerned, or line 1
+    /// where the rejection concerns no single record.
     #[must_use]
     pub fn locate_error(&self, error: &ChangeError) -> ParseError {
         let key = match error {
--- a/src/config_store/follower.rs
+++ b/src/config_store/follower.rs
@@ -1,11 +1,12 @@
 //! The state of a node that follows the newest version: when it sends which request, and how it processes responses.
 //!
-//! The caller passes in advertisements and responses, sends what [`Follower::poll_request`] returns, builds the settings of a
-//! version that is ready on another thread, and then reports whether the version is in force ([`Follower::confirm_adopted`])
-//! or can't be ([`Follower::reject_ready`]).
+//! The caller passes in advertisements and responses, sends what [`Follower::poll_request`] returns, builds the settings of
+//! a version that is ready on another thread, and then reports whether the version is in force
+//! ([`Follower::confirm_adopted`]) or can't be ([`Follower::reject_ready`]).
 //!
-//! Invariants: the revision in force only increases; a version is put in force completely or not at all; at most one request is in
-//! flight; the time between requests is bounded and jittered. There is no I/O and no clock: callers pass the time.
+//! Invariants: the revision in force only increases; a version is put in force completely or not at all; at most one
+//! request is in flight; the time between requests is bounded and jittered. There is no I/O and no clock: callers pass the
+//! time.
 
 use std::collections::VecDeque;
 
@@ -81,7 +82,8 @@
 }
 
 impl Follower {
-    /// A follower with a version in force. `jitter_seed` must differ between processes, so that their requests spread in time.
+    /// A follower with a version in force. `jitter_seed` must differ between processes, so that their requests spread in
+    /// time.
     #[must_use]
     pub fn new(schedule: FetchSchedule, jitter_seed: u64, in_force: ConfigVersion) -> Follower {
         Follower {
@@ -115,8 +117,8 @@
         Micros(((u128::from(bits) * u128::from(limit.0)) >> 64) as u64)
     }
 
-    /// Processes a replica's advertisement of an agreed version. A version older than the newest known one comes from a replica
-    /// that lags, and is ignored.
+    /// Processes a replica's advertisement of an agreed version. A version older than the newest known one comes from a
+    /// replica that lags, and is ignored.
     pub fn receive_advertisement(&mut self, now: Micros, advertised: Advertised) {
         let in_force = self.in_force.revision();
         if advertised.revision == in_force {
@@ -197,7 +199,8 @@
         is_waiting.then(|| self.request_at.unwrap_or_default())
     }
 
-    /// Ends a request that failed or whose response had no use, and schedules the next one with exponential backoff and jitter.
+    /// Ends a request that failed or whose response had no use, and schedules the next one with exponential backoff and
+    /// jitter.
     fn fail_request(&mut self, now: Micros) {
         (self.in_flight, self.response) = (None, None);
         let factor = 1 << self.consecutive_failures.min(RETRY_EXPONENT_MAX);
@@ -233,7 +236,8 @@
                 FetchOutcome::RequestAgain
             }
             (_, FetchResponse::RetryAfter(wait)) => {
-                // The replica works but is overloaded: the wait is the one it asks for, bounded and jittered, without backoff.
+                // The replica works but is overloaded: the wait is the one it asks for, bounded and jittered, without
+                // backoff.
                 let wait = wait.min(self.schedule.retry_max);
                 self.request_at = Some(now + wait + self.draw_jitter(self.schedule.retry_initial));
                 FetchOutcome::RequestAgain
@@ -412,8 +416,8 @@
         self.schedule_next(now);
     }
 
-    /// Schedules the next request if a newer version is known: at once where a response contained only a part, otherwise with
-    /// jitter.
+    /// Schedules the next request if a newer version is known: at once where a response contained only a part, otherwise
+    /// with jitter.
     fn schedule_next(&mut self, now: Micros) {
         if !self.is_behind() {
             self.request_at = None;
--- a/src/config_store/mod.rs
+++ b/src/config_store/mod.rs
@@ -1,8 +1,8 @@
 //! Versioned configuration: typed records that operators change for the whole fleet, and how each version spreads.
 //!
 //! [`Record`]s make a [`ConfigVersion`] under a [`Revision`] that only grows. A [`ChangeSet`] leads from one version to the
-//! next and carries the digest of the result. [`Snapshot`] holds all records of a version in chunks. [`History`] holds what a
-//! replica retains for nodes that lag. [`Follower`] decides what a node fetches to reach the newest version.
+//! next and carries the digest of the result. [`Snapshot`] holds all records of a version in chunks. [`History`] holds what
+//! a replica retains for nodes that lag. [`Follower`] decides what a node fetches to reach the newest version.
 //! [`CanaryRollout`] decides how far a version may spread. [`file_format`] reads an operator's file.
 //!
 //! Invariants: one revision stands for one set of records on all nodes; a change is applied completely or not at all; a node
--- a/src/config_store/value.rs
+++ b/src/config_store/value.rs
@@ -79,8 +79,8 @@
     }
 }
 
-/// A number of a record: 0 to [`FIGURE_MAX`], never NaN and never -0.0. Two figures are equal exactly where their bits are, so
-/// equal records have equal bytes and equal digests.
+/// A number of a record: 0 to [`FIGURE_MAX`], never NaN and never -0.0. Two figures are equal exactly where their bits are,
+/// so equal records have equal bytes and equal digests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Figure(f64);
--- a/src/config_store/version.rs
+++ b/src/config_store/version.rs
@@ -13,8 +13,8 @@
 
 /// One version of all records.
 ///
-/// A clone shares all records and copies a few machine words. After a change two versions differ in the changed records and some 15
-/// small tree nodes for each of them, so a reader may hold a version for any length of time.
+/// A clone shares all records and copies a few machine words. After a change two versions differ in the changed records and
+/// some 15 small tree nodes for each of them, so a reader may hold a version for any length of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigVersion {
     revision: Revision,
--- a/src/runtime/replica/bootstrap.rs
+++ b/src/runtime/replica/bootstrap.rs
@@ -1,7 +1,8 @@
 //! The bootstrap of a fleet's ledger, which happens once and needs all replicas.
 //!
-//! A replica with an empty file neither votes nor stores entries before it joins the bootstrap. A replica whose disk was lost
-//! has also lost its votes, so it must stay out: the other replicas, which still have their files, refuse a second bootstrap.
+//! A replica with an empty file neither votes nor stores entries before it joins the bootstrap. A replica whose disk was
+//! lost has also lost its votes, so it must stay out: the other replicas, which still have their files, refuse a second
+//! bootstrap.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/src/runtime/replica/config_service.rs
+++ b/src/runtime/replica/config_service.rs
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Confirms that this replica leads and has applied all entries committed before the call. Otherwise returns the response
-    /// that directs the peer to another replica.
+    /// Confirms that this replica leads and has applied all entries committed before the call. Otherwise returns the
+    /// response that directs the peer to another replica.
     async fn confirm_leadership(&self) -> Result<(), ConfigResponse> {
         match timeout(PROPOSAL_TIMEOUT, self.raft.ensure_linearizable()).await {
             Ok(Ok(_)) => Ok(()),
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Commits a change. It is checked first, so that a change without effect is not written to every replica's log. The outcome
-    /// is decided when the entry is applied.
+    /// Commits a change. It is checked first, so that a change without effect is not written to every replica's log. The
+    /// outcome is decided when the entry is applied.
     async fn commit_change(&self, change: ChangeSet, compressed: CompressedChange) -> ConfigResponse {
         let (author, next_revision) = (change.author.clone(), change.resulting_revision());
         let (set, removed) = (change.set.len(), change.remove.len());
--- a/src/runtime/replica/config_service/rollout.rs
+++ b/src/runtime/replica/config_service/rollout.rs
@@ -1,5 +1,5 @@
-//! The rollout of versions: collects which node has which version, releases a version to all nodes once the canary nodes have
-//! stayed healthy with it, and halts it otherwise.
+//! The rollout of versions: collects which node has which version, releases a version to all nodes once the canary nodes
+//! have stayed healthy with it, and halts it otherwise.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,8 +23,8 @@
 const LOGGED_CHANGES_BYTES_MAX: usize = 16 << 20;
 
 impl ReplicaServer {
-    /// Calls a function with the canary rollout, which only the leader has. A new leader continues from the agreed decisions.
-    /// `None` where this replica does not lead or the fleet has no configuration.
+    /// Calls a function with the canary rollout, which only the leader has. A new leader continues from the agreed
+    /// decisions. `None` where this replica does not lead or the fleet has no configuration.
     fn with_rollout<T>(&self, f: impl FnOnce(&mut CanaryRollout, Micros) -> T) -> Option<T> {
         let settings = self.fleet.catalog?;
         let mut rollout = lock(&self.config_service.canary_rollout);
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Notifies all nodes of the approved version. A node that misses the message gets the version with the answer to its next
-    /// report.
+    /// Notifies all nodes of the approved version. A node that misses the message gets the version with the answer to its
+    /// next report.
     fn notify_approved_version(&self, socket: &UdpSocket) {
         let (revision, digest) = self.approved_version();
         let message = FleetMessage::NewestVersion { revision, digest };
--- a/src/runtime/replica/config_service/serving.rs
+++ b/src/runtime/replica/config_service/serving.rs
@@ -56,8 +56,8 @@
         if chunks.is_empty() { ConfigResponse::SnapshotGone } else { ConfigResponse::Chunks(chunks) }
     }
 
-    /// The cached snapshot of a version; without a version, a cached or new snapshot in the bounds. Otherwise the response to
-    /// send.
+    /// The cached snapshot of a version; without a version, a cached or new snapshot in the bounds. Otherwise the response
+    /// to send.
     async fn snapshot(
         &self,
         revision: Option<Revision>,
--- a/src/runtime/replica/fetch.rs
+++ b/src/runtime/replica/fetch.rs
@@ -67,8 +67,8 @@
         })
     }
 
-    /// The replica's newest version that all nodes may have, or version 0 where its fleet has no configuration. `None` without
-    /// a valid response `within` the time limit.
+    /// The replica's newest version that all nodes may have, or version 0 where its fleet has no configuration. `None`
+    /// without a valid response `within` the time limit.
     pub async fn newest(&mut self, within: Duration) -> Option<Advertised> {
         match self.request(ConfigRequest::Newest, within).await? {
             ConfigResponse::Head { revision, digest, .. } => Some(Advertised { revision, digest }),
--- a/src/runtime/replica/leadership_log.rs
+++ b/src/runtime/replica/leadership_log.rs
@@ -13,9 +13,9 @@
 struct LoggedLeadership(Option<u64>);
 
 impl LoggedLeadership {
-    /// Records the current leadership and returns the text to log, or `None` where nothing has changed. A replica that loses
-    /// and regains the lead between two checks leads in another term, and that term is logged: otherwise a reader of the logs
-    /// would take the replica that led in between for the leader.
+    /// Records the current leadership and returns the text to log, or `None` where nothing has changed. A replica that
+    /// loses and regains the lead between two checks leads in another term, and that term is logged: otherwise a reader of
+    /// the logs would take the replica that led in between for the leader.
     fn update(&mut self, leading_term: Option<u64>) -> Option<String> {
         match (leading_term, std::mem::replace(&mut self.0, leading_term)) {
             (current, previous) if current == previous => None,
--- a/src/runtime/replica/lease_proposals.rs
+++ b/src/runtime/replica/lease_proposals.rs
@@ -85,8 +85,8 @@
     batch
 }
 
-/// Commits a batch and sends the responses. Without a commit in time nothing is lost: the nodes repeat their requests, and an
-/// entry that is committed later finds its requests superseded.
+/// Commits a batch and sends the responses. Without a commit in time nothing is lost: the nodes repeat their requests, and
+/// an entry that is committed later finds its requests superseded.
 async fn commit_batch(
     server: Arc<ReplicaServer>,
     socket: Arc<UdpSocket>,
--- a/src/runtime/replica/protocol.rs
+++ b/src/runtime/replica/protocol.rs
@@ -95,8 +95,8 @@
     pub received: u64,
 }
 
-/// A connection to one replica. It carries one call at a time; a call that fails closes it, so that no response is matched to
-/// another call.
+/// A connection to one replica. It carries one call at a time; a call that fails closes it, so that no response is matched
+/// to another call.
 pub struct ReplicaConnection {
     address: Option<SocketAddr>,
     stream: Option<FramedStream>,
--- a/src/runtime/replica/protocol/config.rs
+++ b/src/runtime/replica/protocol/config.rs
@@ -21,8 +21,8 @@
     Changes {
         /// The version that the sender has.
         since: Revision,
-        /// The last version requested: the one that the node was notified of. A command, which puts no version in force, sends
-        /// the largest number.
+        /// The last version requested: the one that the node was notified of. A command, which puts no version in force,
+        /// sends the largest number.
         to: Revision,
     },
     /// From a node or a command: chunks of a snapshot.
@@ -55,8 +55,8 @@
 }
 
 impl ConfigRequest {
-    /// Whether the request is served with a node's permit; otherwise it takes a command's.
-    pub fn is_from_node(&self) -> bool {
+    /// Whether the request takes one of the permits for nodes' streams; otherwise it takes one for commands' streams.
+    pub fn uses_node_permit(&self) -> bool {
         matches!(self, ConfigRequest::Changes { .. } | ConfigRequest::Chunks { .. } | ConfigRequest::Newest)
     }
 
--- a/src/runtime/replica/store.rs
+++ b/src/runtime/replica/store.rs
@@ -1,7 +1,7 @@
 //! A replica's file: Raft's log and vote, the last snapshot, and the bootstrap that the replica joined.
 //!
-//! The file is a `redb` database. A write is on the disk before it is reported as done. A replica whose file was lost has also
-//! lost its votes and may not vote ([`LogStore::bootstrap_id`]). Entries are applied in [`super::state_machine`].
+//! The file is a `redb` database. A write is on the disk before it is reported as done. A replica whose file was lost has
+//! also lost its votes and may not vote ([`LogStore::bootstrap_id`]). Entries are applied in [`super::state_machine`].
 
 use std::fmt::Debug;
 use std::ops::RangeBounds;
--- a/src/runtime/replica/stream_server.rs
+++ b/src/runtime/replica/stream_server.rs
@@ -47,10 +47,11 @@
         }
     }
 
-    /// A permit for the peer that sent this request. A replica waits for a permit; other peers get `None` where none is free.
+    /// A permit for the peer that sent this request. A replica waits for a permit; other peers get `None` where none is
+    /// free.
     async fn acquire(&self, request: &ReplicaRequest) -> Option<OwnedSemaphorePermit> {
         match request {
-            ReplicaRequest::Config(request) if request.is_from_node() => {
+            ReplicaRequest::Config(request) if request.uses_node_permit() => {
                 self.nodes.clone().try_acquire_owned().ok()
             }
             ReplicaRequest::Config(_) => self.commands.clone().try_acquire_owned().ok(),
--- a/src/runtime/replica/version_inventory.rs
+++ b/src/runtime/replica/version_inventory.rs
@@ -1,8 +1,8 @@
 //! The configuration's part of a Raft snapshot, which follows the ledger: the oldest stored version, compressed, the changes
 //! since, and the rollout decisions.
 //!
-//! A replica without a configuration writes nothing, so that its snapshot is the ledger alone; a snapshot of this form is read
-//! as a configuration without records.
+//! A replica without a configuration writes nothing, so that its snapshot is the ledger alone; a snapshot of this form is
+//! read as a configuration without records.
 
 use serde::{Deserialize, Serialize};
 
@@ -22,7 +22,8 @@
     changes: Vec<Vec<u8>>,
 }
 
-/// The agreed rollout decisions. Absent in a snapshot written before canary rollouts existed, when every version was approved.
+/// The agreed rollout decisions. Absent in a snapshot written before canary rollouts existed, when every version was
+/// approved.
 #[derive(Serialize, Deserialize)]
 struct RolloutDecisions {
     #[serde(rename = "good")]
--- a/src/runtime/replica/zone_coordinator.rs
+++ b/src/runtime/replica/zone_coordinator.rs
@@ -1,5 +1,5 @@
-//! The zone coordination of a replica: collects the nodes' reports, evaluates them while this replica leads, and notifies all
-//! nodes of a committed change at once.
+//! The zone coordination of a replica: collects the nodes' reports, evaluates them while this replica leads, and notifies
+//! all nodes of a committed change at once.
 //!
 //! The zones' statuses are replicated. The reports and the nodes' addresses are not: a new leader collects them again.
 
@@ -114,8 +114,8 @@
         });
     }
 
-    /// Evaluates the reports and commits a change of the statuses; called by the leader only. A change that is not committed is
-    /// evaluated again at the next call.
+    /// Evaluates the reports and commits a change of the statuses; called by the leader only. A change that is not
+    /// committed is evaluated again at the next call.
     pub(super) async fn evaluate_zones(&self, socket: &UdpSocket) {
         let (now, statuses) = (Micros(self.clock.now().0), self.zone_statuses());
         let evaluated = self.with_zones(|coordinator| coordinator.evaluator.evaluate(now, &statuses));
