--- a/src/runtime/replica/mod.rs
+++ b/src/runtime/replica/mod.rs
@@ -51,7 +51,7 @@
 const HEARTBEAT_MS: u64 = 250;
 /// Log entries after which Raft takes a snapshot.
 const SNAPSHOT_ENTRIES: u64 = 2_000;
-/// Log entries that are kept behind a snapshot, for replicas that lag by no more than these.
+/// Log entries that are kept behind a snapshot, so that a replica with a small lag needs no snapshot.
 const KEPT_ENTRIES: u64 = 200;
 /// Most lease requests that wait to be proposed. A further request is dropped, and its node sends it again.
 const REQUEST_QUEUE_MAX: usize = 4_096;
--- a/src/runtime/replica/state_machine.rs
+++ b/src/runtime/replica/state_machine.rs
@@ -82,7 +82,7 @@
 }
 
 impl SnapshotCopy {
-    /// Stores the ledger and the configuration. Blocks its thread for long with a large configuration.
+    /// Stores the ledger and the configuration. A large configuration takes long, so this must run on a blocking thread.
     pub(super) fn write(&self) -> Result<StoredSnapshot, LogStoreError> {
         let bytes = postcard::to_allocvec(&self.ledger)?;
         let bytes = version_inventory::append_history(bytes, &self.history)?;
--- a/src/runtime/replica/version_inventory/tests.rs
+++ b/src/runtime/replica/version_inventory/tests.rs
@@ -6,7 +6,7 @@
     Record::Zone(ZoneRecord { name, capacity: n + 1 })
 }
 
-/// Stands for the encoded ledger, which precedes the configuration in a snapshot.
+/// A placeholder for the encoded ledger, which precedes the configuration in a snapshot.
 const LEDGER_BYTES: &[u8] = b"book";
 
 /// A snapshot must restore the newest version and all versions that a rollback can return to, and damage must be detected.
