--- a/tests/zone_model/main.rs
+++ b/tests/zone_model/main.rs
@@ -1,46 +1,53 @@
-//! The decisions on zones, in a model: hundreds to thousands of nodes that report what they see, zones that die, slow down,
-//! fail a little, flap, are cut off or come back cold; replicas that take over the lead without the reports of the former leader.
+//! A model of the zone decisions in virtual time, with 6 to 5000 nodes that report what they observe. Zones fail
+//! outright, slow down, fail in part, flap, are cut off or return cold, and replicas take over the lead without the
+//! reports of the former leader.
 //!
-//! `HOLDLIFT_SEEDS=A..B` plays other seeds than the few of each run; a seed that fails is printed and replays.
+//! `HOLDLIFT_SEEDS=A..B` runs these seeds in place of the default range. A seed that fails is printed and can be
+//! replayed.
 
 mod fleet;
 
 use fleet::{Fleet, Tally};
 use holdlift_lab::seeds;
 
-fn total(all: &[Tally]) -> Tally {
+fn sum_tallies(tallies: &[Tally]) -> Tally {
     let add = |a: Tally, b: &Tally| Tally {
-        left: a.left + b.left,
-        returned: a.returned + b.returned,
+        zone_exits: a.zone_exits + b.zone_exits,
+        zone_returns: a.zone_returns + b.zone_returns,
         takeovers: a.takeovers + b.takeovers,
-        stale: a.stale + b.stale,
+        stale_changes: a.stale_changes + b.stale_changes,
         faults: a.faults + b.faults,
     };
-    all.iter().fold(Tally::default(), add)
+    tallies.iter().fold(Tally::default(), add)
 }
 
 #[test]
-fn a_fleet_leaves_what_fails_and_returns_to_what_is_well() {
+fn a_fleet_leaves_failed_zones_and_returns_to_healthy_ones() {
     let seeds = seeds::told(0..80);
     let count = seeds.end - seeds.start;
-    let sum = total(&seeds::play(seeds, |seed| Fleet::new(seed, 6, 300).run()));
+    let sum = sum_tallies(&seeds::play(seeds, |seed| Fleet::new(seed, 6, 300).run()));
     println!("{count} seeds: {sum:?}");
     assert!(
-        count < 50 || (sum.left > count && sum.returned > count && sum.takeovers > count && sum.stale > 0),
+        count < 50
+            || (sum.zone_exits > count
+                && sum.zone_returns > count
+                && sum.takeovers > count
+                && sum.stale_changes > 0),
         "{sum:?}"
     );
 }
 
-/// Nothing fails, or all fails alike: nobody leaves, through bursts and a load that all zones are slow under.
+/// No zone fails, or all zones fail alike or are slow under the same load: the fleet leaves none of them, not even
+/// during bursts of calls.
 #[test]
-fn nobody_leaves_where_no_zone_is_at_fault() {
+fn no_zone_is_left_when_no_zone_is_at_fault() {
     let seeds = seeds::told(0..60);
-    let sum = total(&seeds::play(seeds, |seed| Fleet::new(seed, 6, 300).without_faults().run()));
-    assert_eq!(sum.left, 0, "{sum:?}");
+    let sum = sum_tallies(&seeds::play(seeds, |seed| Fleet::new(seed, 6, 300).without_zone_faults().run()));
+    assert_eq!(sum.zone_exits, 0, "{sum:?}");
 }
 
 #[test]
-fn five_thousand_nodes_leave_and_return() {
-    let sum = total(&seeds::play(0..1, |seed| Fleet::new(seed, 5_000, 5_000).run()));
-    assert!(sum.left > 0 && sum.returned > 0, "{sum:?}");
+fn a_fleet_of_5000_nodes_leaves_and_returns() {
+    let sum = sum_tallies(&seeds::play(0..1, |seed| Fleet::new(seed, 5_000, 5_000).run()));
+    assert!(sum.zone_exits > 0 && sum.zone_returns > 0, "{sum:?}");
 }
--- a/tests/zones/unmoved.rs
+++ b/tests/zones/unmoved.rs
@@ -1,93 +1,98 @@
-//! What is no zone's fault moves nobody.
+//! Faults that are not the fault of one zone: no node leaves a zone because of them.
 
 use super::*;
 
-/// How long nobody may leave: many times what a real fault takes.
-const WATCHED: u64 = 5_000;
+/// Time in which no zone may be left, ms; many times the time after which a failed zone is left.
+const WATCH_MS: u64 = 5_000;
 
-/// One observer has a bad link of its own, to all services but its zone's.
+/// One node has a bad link to the services of all zones but its own.
 #[tokio::test]
-async fn one_observer_with_a_bad_link() {
-    let s = Scene::start(plan(61)).await;
-    s.rig.net.between(&[0], &[s.rig.service(1), s.rig.service(2)], CUT);
-    s.go_on(WATCHED).await;
-    s.nobody_left().await;
+async fn no_zone_is_left_when_one_node_has_a_bad_link() {
+    let fleet = ZonedFleet::start(plan(61)).await;
+    fleet.rig.net.between(&[0], &[fleet.rig.service(1), fleet.rig.service(2)], CUT);
+    fleet.run_for_ms(WATCH_MS).await;
+    fleet.assert_no_zone_left().await;
 }
 
-/// A link between two zones, which a third sees well.
+/// The link between two zones fails, while the third zone reaches both.
 #[tokio::test]
-async fn a_link_between_two_zones() {
-    let s = Scene::start(plan(62)).await;
-    s.rig.net.between(&[0, 3], &[s.rig.service(1)], CUT);
-    s.rig.net.between(&[1, 4], &[s.rig.service(0)], CUT);
-    s.go_on(WATCHED).await;
-    s.nobody_left().await;
+async fn no_zone_is_left_when_the_link_between_two_zones_fails() {
+    let fleet = ZonedFleet::start(plan(62)).await;
+    fleet.rig.net.between(&[0, 3], &[fleet.rig.service(1)], CUT);
+    fleet.rig.net.between(&[1, 4], &[fleet.rig.service(0)], CUT);
+    fleet.run_for_ms(WATCH_MS).await;
+    fleet.assert_no_zone_left().await;
 }
 
-/// What all services share fails, and then all are slow.
+/// The services of all zones fail in part, then all are slow, then all return errors, as when a common dependency
+/// fails.
 #[tokio::test]
-async fn what_all_zones_have_in_common() {
-    let s = Scene::start(plan(63)).await;
+async fn no_zone_is_left_when_all_zones_fail_alike() {
+    let fleet = ZonedFleet::start(plan(63)).await;
     for mood in [Mood::Grey, Mood::Slow, Mood::Errors] {
-        s.rig.tiers.iter().for_each(|t| t.be(mood));
-        s.go_on(WATCHED).await;
+        fleet.rig.tiers.iter().for_each(|t| t.be(mood));
+        fleet.run_for_ms(WATCH_MS).await;
     }
-    s.nobody_left().await;
+    fleet.assert_no_zone_left().await;
 }
 
-/// A tenth more is asked than all zones bear, by nodes whose limits let through what is borne.
+/// The load is a tenth above the capacity of all zones, while the limits of the nodes admit no more than that capacity.
 #[tokio::test]
-async fn a_load_beyond_what_all_bear() {
-    let limit = Some(3 * BEARS / 6);
-    let s = Scene::start(Plan { base_ms: 400, limit, ..plan(64) }).await;
-    s.load.rates(&[33.0; 6]);
-    s.go_on(2 * WATCHED).await;
-    s.nobody_left().await;
+async fn no_zone_is_left_under_a_load_beyond_the_capacity_of_all_zones() {
+    let limit = Some(3 * ZONE_CAPACITY / 6);
+    let fleet = ZonedFleet::start(Plan { base_ms: 400, limit, ..plan(64) }).await;
+    fleet.load.rates(&[33.0; 6]);
+    fleet.run_for_ms(2 * WATCH_MS).await;
+    fleet.assert_no_zone_left().await;
 }
 
-/// Two are ill at a time: one may be left, the share of zones that may be out being a third.
+/// Two zones fail at the same time. Only one may be left, as at most a third of the zones may be out.
 #[tokio::test]
-async fn of_two_that_are_ill_one_is_left() {
-    let s = Scene::start(plan(65)).await;
-    s.rig.tiers[0].be(Mood::Errors);
-    s.rig.tiers[1].be(Mood::Errors);
-    s.rig.until("one out", async || !s.left().is_empty()).await;
+async fn only_one_of_two_failing_zones_is_left() {
+    let fleet = ZonedFleet::start(plan(65)).await;
+    fleet.rig.tiers[0].be(Mood::Errors);
+    fleet.rig.tiers[1].be(Mood::Errors);
+    fleet.rig.until("a zone to be out", async || !fleet.logged_zone_exits().is_empty()).await;
     for _ in 0..40 {
         let mut out = 0;
         for zone in 0..3 {
-            let life = s.rig.life(2, zone).await;
-            out += u32::from(!matches!(life.as_deref(), Some("in" | "suspect")));
+            let state = fleet.rig.life(2, zone).await;
+            out += u32::from(!matches!(state.as_deref(), Some("in" | "suspect")));
         }
-        assert!(out <= 1, "{out} are out");
-        s.go_on(100).await;
+        assert!(out <= 1, "{out} zones are out at the same time");
+        fleet.run_for_ms(100).await;
     }
 }
 
-/// All nodes of a zone restart cold while its services are well.
+/// All nodes of a zone are killed and restart, while the service of the zone is healthy.
 #[tokio::test]
-async fn all_nodes_of_a_zone_restart() {
-    let mut s = Scene::start(plan(66)).await;
-    s.rig.kill(0);
-    s.rig.kill(3);
-    s.go_on(WATCHED).await;
+async fn no_zone_is_left_when_all_nodes_of_a_zone_restart() {
+    let mut fleet = ZonedFleet::start(plan(66)).await;
+    fleet.rig.kill(0);
+    fleet.rig.kill(3);
+    fleet.run_for_ms(WATCH_MS).await;
     for node in [0, 3] {
-        s.rig.restart(node);
-        s.rig.ready(node).await;
+        fleet.rig.restart(node);
+        fleet.rig.ready(node).await;
     }
-    s.all(&[0, 3], 0, "in").await;
-    s.nobody_left().await;
+    fleet.until_all_see(&[0, 3], 0, "in").await;
+    fleet.assert_no_zone_left().await;
 }
 
-/// Labels alone change nothing: no zone is judged, and each node is as it always was.
+/// Zone labels alone change nothing: without the table the fleet decides on no zone, and each node ejects endpoints by
+/// itself.
 #[tokio::test]
-async fn without_the_table_nothing_is_judged() {
-    let _room = ROOM.acquire().await.expect("room");
-    let labels = Zoned { decided: false, ..zoned() };
-    let rig = Plan { zoned: Some(labels), ..plan(67) }.start().await;
-    let load = Load::start(&rig, &[RATE; 6], 67);
+async fn without_the_zones_table_no_zone_is_evaluated() {
+    let _rig_permit = RIG_PERMITS.acquire().await.expect("the semaphore for rigs is never closed");
+    let labels_only = Zoned { decided: false, ..zone_plan() };
+    let rig = Plan { zoned: Some(labels_only), ..plan(67) }.start().await;
+    let load = Load::start(&rig, &[NODE_RATE; 6], 67);
     rig.tiers[0].be(Mood::Resets);
-    rig.until("calls", async || rig.tiers[1].counts.counted().all > 300).await;
+    rig.until("more than 300 calls in zone z1", async || rig.tiers[1].counts.counted().all > 300).await;
     assert_eq!(rig.report(0).await.map(|r| r["zones"].is_null()), Some(true));
-    assert!(rig.tiers[0].counts.counted().all > 20, "each node finds out for itself, again and again");
+    assert!(
+        rig.tiers[0].counts.counted().all > 20,
+        "each node keeps trying the failed zone by its own evidence"
+    );
     drop(load);
 }
