--- a/src/runtime/connections.rs
+++ b/src/runtime/connections.rs
@@ -6,7 +6,7 @@
 use tracing::{debug, warn};
 
 use super::Runtime;
-use super::door::{Newcomer, tune};
+use super::door::{Newcomer, set_socket_options};
 use crate::door::{AdmissionDecision, ConnectionCommand, ConnectionId, ListenerId};
 use crate::end::End;
 use crate::front::Reply;
@@ -47,7 +47,7 @@
             }
         };
         let profile = self.doorman.with(|d| *d.profile(gate));
-        if let Err(e) = tune(&stream, &profile)
+        if let Err(e) = set_socket_options(&stream, &profile)
             && let Some(held) = self.log_limiter.permit()
         {
             warn!(conn = id.0, held, "socket options: {e}");
--- a/src/runtime/door.rs
+++ b/src/runtime/door.rs
@@ -127,7 +127,7 @@
 ///
 /// # Errors
 /// The system's reason; the connection is served without.
-pub fn tune(stream: &TcpStream, profile: &Profile) -> std::io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream, profile: &Profile) -> std::io::Result<()> {
     let socket = SockRef::from(stream);
     if let Some(l) = &profile.liveness {
         let (probe, timeout) = (Duration::from_micros(l.probe.0), Duration::from_micros(l.timeout.0));
--- a/src/runtime/hot_restart.rs
+++ b/src/runtime/hot_restart.rs
@@ -359,7 +359,7 @@
                 });
             }
             Some(link) if link.is_successor => {}
-            _ => self.up()?,
+            _ => self.start_serving()?,
         }
         Ok(())
     }
@@ -385,7 +385,7 @@
                 let _ = outgoing.try_send(known_writes);
                 self.peer_process =
                     Some(PeerLink { id: link_id, outgoing, is_successor: false, is_ready: false });
-                let listeners = self.listeners.iter().map(|o| (o.at, o.listener.clone())).collect();
+                let listeners = self.listeners.iter().map(|o| (o.address, o.listener.clone())).collect();
                 let is_out_of_service = self.service.with(|s| s.is_out_by_order());
                 let _ = welcome.send(Welcome { is_out_of_service, listeners, outgoing: outgoing_receiver });
             }
@@ -405,7 +405,7 @@
                 HandoverMessage::TakeoverConfirmed
                     if self.peer_process.as_ref().is_some_and(|l| l.is_successor) =>
                 {
-                    self.up()?
+                    self.start_serving()?
                 }
                 _ => {}
             },
@@ -419,7 +419,7 @@
                 );
                 if was_successor {
                     if self.node.is_started() && self.stop_at.is_none() {
-                        self.up()?;
+                        self.start_serving()?;
                     }
                     self.await_successors();
                 }
@@ -429,7 +429,7 @@
                     && !self.service.with(|s| s.is_ready()) =>
             {
                 warn!("the process before this one does not answer; taking clients");
-                self.up()?;
+                self.start_serving()?;
             }
             PeerLinkEvent::Message(..)
             | PeerLinkEvent::LinkEnded(..)
--- a/src/runtime/listeners.rs
+++ b/src/runtime/listeners.rs
@@ -24,7 +24,7 @@
 /// A listener that is open.
 pub(super) struct Open {
     pub gate: ListenerId,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub listener: Rc<TcpListener>,
     pub room: Arc<Semaphore>,
     pub task: JoinHandle<()>,
@@ -55,7 +55,13 @@
             let listener = Rc::new(listener);
             let room = Arc::new(Semaphore::new(room + SPARE));
             let accept = door::accept(gate, listener.clone(), room.clone(), self.events.clone());
-            self.listeners.push(Open { gate, at, listener, room, task: tokio::task::spawn_local(accept) });
+            self.listeners.push(Open {
+                gate,
+                address: at,
+                listener,
+                room,
+                task: tokio::task::spawn_local(accept),
+            });
         }
         self.open_coap();
         // A listener that this node has no more use for: its queue ends with the process that had it.
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -15,7 +15,7 @@
 pub mod replica;
 mod signals;
 
-pub use door::tune;
+pub use door::set_socket_options;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -395,7 +395,7 @@
 
     /// Takes clients from now on, unless the notice to leave has come first. Nobody is taken in before, to be told that there
     /// is no service yet.
-    fn up(&mut self) -> Result<(), Box<dyn std::error::Error>> {
+    fn start_serving(&mut self) -> Result<(), Box<dyn std::error::Error>> {
         if self.stop_at.is_some() {
             return Ok(());
         }
--- a/tests/poor.rs
+++ b/tests/poor.rs
@@ -295,9 +295,9 @@
     let _client = TcpStream::connect(address).await.unwrap();
     let (stream, _) = listener.accept().await.unwrap();
     let socket = socket2::SockRef::from(&stream);
-    holdlift::runtime::tune(&stream, &Profile::STRICT).unwrap();
+    holdlift::runtime::set_socket_options(&stream, &Profile::STRICT).unwrap();
     assert_eq!((socket.keepalive().unwrap(), socket.tcp_user_timeout().unwrap()), (false, None));
-    holdlift::runtime::tune(&stream, &Profile::PATIENT).unwrap();
+    holdlift::runtime::set_socket_options(&stream, &Profile::PATIENT).unwrap();
     assert!(socket.keepalive().unwrap());
     assert_eq!(socket.tcp_keepalive_time().unwrap(), Duration::from_secs(10));
     assert_eq!(socket.tcp_user_timeout().unwrap(), Some(Duration::from_secs(30)));
