--- a/src/runtime/agent_link.rs
+++ b/src/runtime/agent_link.rs
@@ -1,4 +1,4 @@
-//! The link to the agent: made, held, moved to a new address, made again.
+//! The link to the agent: connects, reconnects after a failure, and moves to a new address.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -18,66 +18,73 @@
 use crate::end::End;
 use crate::stream::SteadyStream;
 
-/// How long a link may take to be made, and the pause before the next try.
-const CONNECT: Duration = Duration::from_secs(2);
-const AGAIN: Duration = Duration::from_millis(20);
-/// An agent that takes no byte for this long gets a new link.
-const STALL: Duration = Duration::from_secs(10);
-/// Messages for the agent that a link may lag behind by.
-const QUEUE: usize = 1024;
+/// Time limit for connecting to the agent.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause before the next attempt to connect.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(20);
+/// A link on which a message can't be written for this long is replaced by a new one.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Messages queued for the agent on one link.
+const QUEUE_MAX: usize = 1024;
 
-type Held = Pin<Box<dyn Future<Output = End>>>;
+/// The task of an open link; returns why the link ended.
+type LinkFuture = Pin<Box<dyn Future<Output = End>>>;
 
-/// Holds a link to the agent, for ever. Link after link, each under its own number.
+/// Keeps a link to the agent open until the agent's address is removed or the event loop ends. Each link has its own number.
 ///
-/// When the agent moves, the old link is held until the new one is made, so that no notice waits for a connection,
-/// and is dropped just before the new one subscribes: were it still read, a command left in it could arrive behind
-/// the same command sent anew, when its run is over.
-pub(super) async fn keep(mut address: watch::Receiver<Option<SocketAddr>>, events: mpsc::Sender<Event>) {
-    let mut n = 0;
-    let mut held: Option<Held> = None;
+/// When the agent's address changes, the old link is kept until the new one is connected, so that no notice waits for a
+/// connection. It is dropped just before the new one subscribes: otherwise a command still in flight on the old link could
+/// arrive after the same command was resent on the new one and its run had ended.
+pub(super) async fn maintain_link(
+    mut address: watch::Receiver<Option<SocketAddr>>,
+    events: mpsc::Sender<Event>,
+) {
+    let mut link_number = 0;
+    let mut link: Option<LinkFuture> = None;
     loop {
         let Some(target) = *address.borrow_and_update() else { return };
-        let made = tokio::select! {
-            made = timeout(CONNECT, TcpStream::connect(target)) => made,
-            going = ended(n, &mut held, &events) => if going { continue } else { return },
+        let connected = tokio::select! {
+            connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(target)) => connected,
+            is_open = link_ended(link_number, &mut link, &events) => if is_open { continue } else { return },
             moved = address.changed() => if moved.is_ok() { continue } else { return },
         };
-        if let Ok(Ok(stream)) = made {
-            n += 1;
-            held = Some(Box::pin(hold(n, stream, events.clone())));
+        if let Ok(Ok(stream)) = connected {
+            link_number += 1;
+            link = Some(Box::pin(run_link(link_number, stream, events.clone())));
             tokio::select! {
-                going = ended(n, &mut held, &events) => if !going { return },
+                is_open = link_ended(link_number, &mut link, &events) => if !is_open { return },
                 moved = address.changed() => if moved.is_ok() { continue } else { return },
             }
         }
         tokio::select! {
-            () = sleep(AGAIN) => {}
-            going = ended(n, &mut held, &events) => if !going { return },
+            () = sleep(RECONNECT_INTERVAL) => {}
+            is_open = link_ended(link_number, &mut link, &events) => if !is_open { return },
         }
     }
 }
 
-/// Waits for the end of the link that is held, if any, and tells of it. False once nobody listens.
-async fn ended(n: u64, held: &mut Option<Held>, events: &mpsc::Sender<Event>) -> bool {
-    let Some(link) = held else { return std::future::pending().await };
-    let end = link.await;
-    *held = None;
-    events.send(Event::AgentUnlinked(n, end)).await.is_ok()
+/// Waits for the end of the open link and reports it to the event loop; waits forever if no link is open. False if the event
+/// loop has ended.
+async fn link_ended(link_number: u64, link: &mut Option<LinkFuture>, events: &mpsc::Sender<Event>) -> bool {
+    let Some(open_link) = link else { return std::future::pending().await };
+    let end = open_link.await;
+    *link = None;
+    events.send(Event::AgentUnlinked(link_number, end)).await.is_ok()
 }
 
-async fn hold(n: u64, stream: TcpStream, events: mpsc::Sender<Event>) -> End {
+/// Carries messages both ways until the link ends, and returns why it ended.
+async fn run_link(link_number: u64, stream: TcpStream, events: mpsc::Sender<Event>) -> End {
     let _ = stream.set_nodelay(true);
     let (read, mut write) = tokio::io::split(SteadyStream::new(stream));
     let mut notices = FramedRead::with_capacity(read, NoticeCodec, 16 << 10);
-    let (tx, mut queue) = mpsc::channel::<Bytes>(QUEUE);
-    if events.send(Event::AgentLinked(n, tx)).await.is_err() {
+    let (sender, mut queue) = mpsc::channel::<Bytes>(QUEUE_MAX);
+    if events.send(Event::AgentLinked(link_number, sender)).await.is_err() {
         return End::Finished;
     }
     let writer = async {
         while let Some(mut bytes) = queue.recv().await {
-            // An agent that reads nothing for so long gets a new link, and with it all that this one lost.
-            match timeout(STALL, write.write_all_buf(&mut bytes)).await {
+            // The new link that follows a timeout replays the commands that this one has lost.
+            match timeout(WRITE_TIMEOUT, write.write_all_buf(&mut bytes)).await {
                 Ok(Ok(())) => {}
                 Ok(Err(e)) => return End::from(e),
                 Err(_) => return End::Stalled,
@@ -89,7 +96,7 @@
         loop {
             match notices.next().await {
                 Some(Ok(notice)) => {
-                    if events.send(Event::AgentNotice(n, notice)).await.is_err() {
+                    if events.send(Event::AgentNotice(link_number, notice)).await.is_err() {
                         return End::Finished;
                     }
                 }
--- a/src/runtime/coap.rs
+++ b/src/runtime/coap.rs
@@ -1,9 +1,11 @@
-//! The socket of the CoAP front ([`crate::front::coap`]): datagrams in, in batches; datagrams out, as the socket takes them.
+//! The socket of the CoAP front ([`crate::front::coap`]): receives datagrams in batches, and sends them as the socket accepts
+//! them.
 
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 use bytes::Bytes;
 use tokio::net::UdpSocket;
@@ -17,74 +19,99 @@
 use crate::node::{Answer, Input};
 use crate::time::process;
 
-/// Datagrams that are taken in at a time: as many as make one turn worth while, and leave others their turn.
-const BATCH: usize = 64;
-/// The largest datagram that is read; no message of the front is larger, and what is longer is cut and then refused.
-const LARGEST: usize = 2_048;
-/// Datagrams that wait for the socket to take them. Beyond that they are lost, as on any link; what matters is sent again.
-const WAITING: usize = 1_024;
-
-pub(super) struct Driver {
+/// Datagrams received at a time: enough to make the cost of one event small, and few enough that other events are not delayed.
+const BATCH_MAX: usize = 64;
+/// Largest datagram, bytes. No message of the front is larger; a longer datagram is truncated and then rejected.
+const DATAGRAM_MAX: usize = 2_048;
+/// Datagrams queued until the socket accepts them. Further ones are dropped, as on any lossy link; the protocol retransmits
+/// those that need an acknowledgement.
+const SEND_QUEUE_MAX: usize = 1_024;
+
+/// Pause between two attempts to send the queued datagrams.
+const SEND_RETRY_INTERVAL: Micros = Micros::from_millis(1);
+/// Pause between two attempts to bind the socket.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+
+/// The CoAP front with its socket and the queue of datagrams to send.
+pub(super) struct CoapDriver {
     front: Coap,
+    /// None before it is bound and after it is closed.
     socket: Option<Rc<UdpSocket>>,
-    reading: Option<JoinHandle<()>>,
-    waiting: VecDeque<(SocketAddr, Vec<u8>)>,
-    /// Datagrams that found no room.
+    receive_task: Option<JoinHandle<()>>,
+    send_queue: VecDeque<(SocketAddr, Vec<u8>)>,
+    /// Datagrams dropped because the queue was full.
     lost: u64,
-    out: Vec<Output>,
+    /// A reused buffer.
+    outputs: Vec<Output>,
 }
 
-impl Driver {
-    pub fn new(front: Coap) -> Driver {
-        Driver { front, socket: None, reading: None, waiting: VecDeque::new(), lost: 0, out: Vec::new() }
+impl CoapDriver {
+    pub fn new(front: Coap) -> CoapDriver {
+        CoapDriver {
+            front,
+            socket: None,
+            receive_task: None,
+            send_queue: VecDeque::new(),
+            lost: 0,
+            outputs: Vec::new(),
+        }
     }
 
-    /// When the front is to be swept, or the socket to be tried again.
-    pub fn deadline(&self, now: Micros) -> Option<Micros> {
-        let flush = (!self.waiting.is_empty()).then(|| now + Micros::from_millis(1));
+    /// When the front's next timer is due, or the queued datagrams are to be sent again.
+    pub fn next_timeout(&self, now: Micros) -> Option<Micros> {
+        let flush = (!self.send_queue.is_empty()).then(|| now + SEND_RETRY_INTERVAL);
         [self.front.deadline(), flush].into_iter().flatten().min()
     }
 
-    pub fn print(&self) {
+    /// Logs the front's counters.
+    pub fn log_counters(&self) {
         let (exchanges, open, (uploads, results)) = self.front.holds();
-        let t = self.front.tally;
+        let counters = self.front.tally;
         info!(
             "coap: exchanges={exchanges} open={open} uploads={uploads} results={results} noise={} rejected={} \
              duplicates={} full={} echoes={} again={} undelivered={} lost={}",
-            t.noise, t.rejected, t.duplicates, t.full, t.echoes, t.again, t.undelivered, self.lost
+            counters.noise,
+            counters.rejected,
+            counters.duplicates,
+            counters.full,
+            counters.echoes,
+            counters.again,
+            counters.undelivered,
+            self.lost
         );
     }
 
-    fn send(&mut self, to: SocketAddr, bytes: Vec<u8>) {
-        if self.waiting.len() >= WAITING {
+    fn enqueue(&mut self, to: SocketAddr, bytes: Vec<u8>) {
+        if self.send_queue.len() >= SEND_QUEUE_MAX {
             self.lost += 1;
             return;
         }
-        self.waiting.push_back((to, bytes));
+        self.send_queue.push_back((to, bytes));
     }
 
+    /// Sends queued datagrams until the socket accepts no more. Drops them if there is no socket.
     fn flush(&mut self) {
-        let Some(socket) = &self.socket else { return self.waiting.clear() };
-        while let Some((to, bytes)) = self.waiting.front() {
+        let Some(socket) = &self.socket else { return self.send_queue.clear() };
+        while let Some((to, bytes)) = self.send_queue.front() {
             match socket.try_send_to(bytes, *to) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // A peer that can't be reached is like one that does not answer.
-                _ => _ = self.waiting.pop_front(),
+                // An error for an unreachable peer is ignored: the peer is handled like one that does not answer.
+                _ => _ = self.send_queue.pop_front(),
             }
         }
     }
 }
 
-/// Reads datagrams in batches for as long as the socket lives. The core's queue is bounded; while it is full, the system
-/// drops what it has no room for.
-async fn read(socket: Rc<UdpSocket>, events: mpsc::Sender<Event>) {
-    let mut buffer = [0; LARGEST];
+/// Receives datagrams in batches for as long as the socket lives. The event queue is bounded; while it is full, datagrams
+/// wait in the system's receive buffer, and the system drops those that exceed it.
+async fn receive_datagrams(socket: Rc<UdpSocket>, events: mpsc::Sender<Event>) {
+    let mut buffer = [0; DATAGRAM_MAX];
     loop {
         if socket.readable().await.is_err() {
             return;
         }
         let mut batch = Vec::new();
-        while batch.len() < BATCH
+        while batch.len() < BATCH_MAX
             && let Ok((n, from)) = socket.try_recv_from(&mut buffer)
         {
             batch.push((from, Bytes::copy_from_slice(&buffer[..n])));
@@ -96,38 +123,40 @@
 }
 
 impl Runtime {
-    /// Binds the front's socket, where there is one to bind. Another process of the node that still has it keeps it: two that
-    /// share it would each know half of the exchanges.
+    /// Binds the front's socket, if there is a CoAP front. While another process of the node has the address, binding fails and
+    /// is retried: two processes that shared the address would each receive only part of each exchange.
     pub(super) fn open_coap(&mut self) {
         let (Some(driver), events) = (&mut self.coap, self.events.clone()) else { return };
         if driver.socket.is_some() {
             return;
         }
-        let at = driver.front.listen();
-        let bound = std::net::UdpSocket::bind(at).and_then(|s| {
-            s.set_nonblocking(true)?;
-            UdpSocket::from_std(s)
+        let address = driver.front.listen();
+        let bound = std::net::UdpSocket::bind(address).and_then(|socket| {
+            socket.set_nonblocking(true)?;
+            UdpSocket::from_std(socket)
         });
         match bound {
             Ok(socket) => {
                 let socket = Rc::new(socket);
-                driver.reading = Some(tokio::task::spawn_local(read(socket.clone(), events)));
+                driver.receive_task =
+                    Some(tokio::task::spawn_local(receive_datagrams(socket.clone(), events)));
                 driver.socket = Some(socket);
             }
             Err(e) => {
-                warn!("coap {at}: {e}; trying again");
+                warn!("coap {address}: {e}; trying again");
                 tokio::task::spawn_local(async move {
-                    tokio::time::sleep(std::time::Duration::from_millis(200)).await;
-                    let _ = events.send(Event::OpenCoap).await;
+                    tokio::time::sleep(BIND_RETRY_INTERVAL).await;
+                    let _ = events.send(Event::RetryCoapBind).await;
                 });
             }
         }
     }
 
-    /// Takes nothing more in; what is open is answered, and acknowledgements no longer matter.
+    /// Sends the queued datagrams and closes the socket. All exchanges are answered by now, and acknowledgements that arrive
+    /// later are not needed.
     pub(super) fn close_coap(&mut self) {
         if let Some(driver) = &mut self.coap {
-            if let Some(task) = driver.reading.take() {
+            if let Some(task) = driver.receive_task.take() {
                 task.abort();
             }
             driver.flush();
@@ -135,44 +164,48 @@
         }
     }
 
-    pub(super) fn datagrams(&mut self, now: Micros, batch: Vec<(SocketAddr, Bytes)>) {
+    /// Passes received datagrams to the front.
+    pub(super) fn handle_datagrams(&mut self, now: Micros, batch: Vec<(SocketAddr, Bytes)>) {
         for (from, bytes) in batch {
-            self.coap(now, |front, out| front.receive(now, from, &bytes, out));
+            self.with_coap(now, |front, out| front.receive(now, from, &bytes, out));
         }
     }
 
+    /// Passes the answer to the request with this number to the front.
     pub(super) fn answer_coap(&mut self, now: Micros, number: u64, answer: &Answer) {
-        self.coap(now, |front, out| front.answer(now, number, answer, out));
+        self.with_coap(now, |front, out| front.answer(now, number, answer, out));
     }
 
-    pub(super) fn sweep_coap(&mut self) {
+    /// Runs the front's due timers and sends the queued datagrams.
+    pub(super) fn run_coap_timers(&mut self) {
         let now = process::now();
-        self.coap(now, |front, out| front.sweep(now, out));
+        self.with_coap(now, |front, out| front.sweep(now, out));
         if let Some(driver) = &mut self.coap {
             driver.flush();
         }
     }
 
-    fn coap(&mut self, now: Micros, f: impl FnOnce(&mut Coap, &mut Vec<Output>)) {
+    /// Calls a function with the front and carries out the outputs that it adds.
+    fn with_coap(&mut self, now: Micros, f: impl FnOnce(&mut Coap, &mut Vec<Output>)) {
         let Some(driver) = &mut self.coap else { return };
-        let mut out = std::mem::take(&mut driver.out);
-        f(&mut driver.front, &mut out);
-        for output in out.drain(..) {
+        let mut outputs = std::mem::take(&mut driver.outputs);
+        f(&mut driver.front, &mut outputs);
+        for output in outputs.drain(..) {
             match output {
                 Output::Send(to, bytes) => {
                     if let Some(driver) = &mut self.coap {
-                        driver.send(to, bytes);
+                        driver.enqueue(to, bytes);
                     }
                 }
-                Output::Tell(Input::RequestReceived(origin, ask)) => {
-                    let ask = self.planned(ask);
-                    self.node.handle_input(now, Input::RequestReceived(origin, ask), &mut self.outputs);
+                Output::Tell(Input::RequestReceived(origin, request)) => {
+                    let request = self.plan_request(request);
+                    self.node.handle_input(now, Input::RequestReceived(origin, request), &mut self.outputs);
                 }
                 Output::Tell(input) => self.node.handle_input(now, input, &mut self.outputs),
             }
         }
         if let Some(driver) = &mut self.coap {
-            driver.out = out;
+            driver.outputs = outputs;
         }
     }
 }
--- a/src/runtime/connections.rs
+++ b/src/runtime/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of the fronts: taken in, told things, closed.
+//! The connections of the fronts: admission, events from their tasks, and messages to them.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use tracing::{debug, warn};
 
 use super::Runtime;
-use super::door::{Newcomer, set_socket_options};
+use super::door::{AcceptedConnection, set_socket_options};
 use crate::door::{AdmissionDecision, ConnectionCommand, ConnectionId, ListenerId};
 use crate::end::End;
 use crate::front::Reply;
@@ -18,53 +18,61 @@
 use crate::node::{IncomingRequest, Input, Worker};
 use crate::time::process;
 
-/// Messages on their way to one connection.
-const REPLIES: usize = 96;
+/// Messages queued for one connection's task. A connection whose queue is full is closed.
+const REPLY_QUEUE_MAX: usize = 96;
 
-/// What the runtime knows of a connection.
-pub(super) struct Conn {
+/// An open connection, as the event loop keeps it.
+pub(super) struct ConnectionHandle {
     wire: Wire,
     replies: mpsc::Sender<Reply>,
 }
 
 impl Runtime {
-    pub(super) fn accepted(&mut self, new: Newcomer) {
+    /// Admits an accepted connection and starts its task; closes it if it is rejected.
+    pub(super) fn serve_connection(&mut self, accepted: AcceptedConnection) {
         let now = process::now();
-        let Newcomer { gate, stream, from, permit } = new;
-        let wire = self.gates[gate.0].wire;
-        let id = match self.doorman.with(|d| d.admit(now, gate, from.ip())) {
+        let AcceptedConnection { listener, stream, peer_address, permit } = accepted;
+        let wire = self.listener_infos[listener.0].wire;
+        let id = match self.admission.with(|a| a.admit(now, listener, peer_address.ip())) {
             AdmissionDecision::Admit(id) => id,
             AdmissionDecision::Replace { admitted, evicted } => {
-                self.whisper(evicted, ConnectionCommand::Close(End::Crowded));
+                self.send_connection_command(evicted, ConnectionCommand::Close(End::Crowded));
                 admitted
             }
             AdmissionDecision::Reject(end) => {
                 *self.node.counters.closed.entry((wire.front(), end)).or_default() += 1;
-                if let Some(held) = self.log_limiter.permit() {
-                    debug!(gate = %self.gates[gate.0].name, %from, held, "not taken in: {end}");
+                if let Some(suppressed) = self.log_limiter.permit() {
+                    debug!(
+                        listener = %self.listener_infos[listener.0].name,
+                        from = %peer_address,
+                        suppressed,
+                        "connection rejected: {end}"
+                    );
                 }
                 return;
             }
         };
-        let profile = self.doorman.with(|d| *d.profile(gate));
+        let profile = self.admission.with(|a| *a.profile(listener));
         if let Err(e) = set_socket_options(&stream, &profile)
-            && let Some(held) = self.log_limiter.permit()
+            && let Some(suppressed) = self.log_limiter.permit()
         {
-            warn!(conn = id.0, held, "socket options: {e}");
+            warn!(conn = id.0, suppressed, "socket options not set: {e}");
         }
-        let (replies, inbox) = mpsc::channel(REPLIES);
-        self.connections.insert(id.0, Conn { wire, replies });
+        let (replies, inbox) = mpsc::channel(REPLY_QUEUE_MAX);
+        self.connections.insert(id.0, ConnectionHandle { wire, replies });
         self.node.open_connections = self.connections.len();
-        debug!(conn = id.0, gate = %self.gates[gate.0].name, %from, "taken in");
+        let listener_name = &self.listener_infos[listener.0].name;
+        debug!(conn = id.0, listener = %listener_name, from = %peer_address, "connection admitted");
         let (events, settings) = (self.events.clone(), self.settings.clone());
-        let held = (permit, self.alive.clone());
-        let with = (self.doorman.clone(), Duration::from_micros(profile.linger.0));
+        // Dropped when the connection's task ends.
+        let held = (permit, self.connection_task_count.clone());
+        let context = (self.admission.clone(), Duration::from_micros(profile.linger.0));
         match (wire, &self.uwsgi) {
             (Wire::Uwsgi, Some((u, _))) => {
                 let session = Gateway::new(id.0, settings, u.clone());
                 let codec = Gateway::codec(u);
                 tokio::task::spawn_local(async move {
-                    driver::serve((wire, id), stream, session, codec, events, inbox, with).await;
+                    driver::serve((wire, id), stream, session, codec, events, inbox, context).await;
                     drop(held);
                 });
             }
@@ -72,61 +80,68 @@
                 let session = Caller::new(id.0, settings, process::arrivals());
                 let codec = ValueCodec::default();
                 tokio::task::spawn_local(async move {
-                    driver::serve((wire, id), stream, session, codec, events, inbox, with).await;
+                    driver::serve((wire, id), stream, session, codec, events, inbox, context).await;
                     drop(held);
                 });
             }
         }
         if self.is_finishing {
-            // All others have been told already.
-            self.tell(id.0, Reply::Finish);
+            // All other connections have had this message already.
+            self.send_reply(id.0, Reply::Finish);
         }
     }
 
-    /// Nobody can come in through a gate before somebody goes.
-    pub(super) fn full(&mut self, gate: ListenerId) {
+    /// Closes connections of a listener that has no room for another one.
+    pub(super) fn evict_for_listener(&mut self, listener: ListenerId) {
         let now = process::now();
-        for evicted in self.doorman.with(|d| d.evict_for_listener(now, gate)) {
-            self.whisper(evicted, ConnectionCommand::Close(End::Crowded));
+        for evicted in self.admission.with(|a| a.evict_for_listener(now, listener)) {
+            self.send_connection_command(evicted, ConnectionCommand::Close(End::Crowded));
         }
     }
 
-    /// Carries out what has fallen due at the door.
-    pub(super) fn sweep_door(&mut self) {
+    /// Runs the due timers of connection admission, and sends the resulting commands to the connections.
+    pub(super) fn run_admission_timers(&mut self) {
         let now = process::now();
-        for (id, verdict) in self.doorman.with(|d| d.sweep(now)) {
-            self.whisper(id, verdict);
+        for (id, command) in self.admission.with(|a| a.sweep(now)) {
+            self.send_connection_command(id, command);
         }
     }
 
-    fn whisper(&mut self, id: ConnectionId, verdict: ConnectionCommand) {
-        let full =
-            self.connections.get(&id.0).is_some_and(|c| c.replies.try_send(Reply::Door(verdict)).is_err());
-        if full && verdict != ConnectionCommand::ReadNow {
-            // It does not read its answers: dropping the sender ends it.
+    /// Sends a command of connection admission. A connection whose queue is full is closed instead, unless the command only
+    /// asks it to read.
+    fn send_connection_command(&mut self, id: ConnectionId, command: ConnectionCommand) {
+        let is_full =
+            self.connections.get(&id.0).is_some_and(|c| c.replies.try_send(Reply::Door(command)).is_err());
+        if is_full && command != ConnectionCommand::ReadNow {
+            // The peer does not read its answers: dropping the sender ends the connection's task.
             self.connections.remove(&id.0);
         }
     }
 
-    /// A request as the tiers' file plans it, and as its member's share of the fleet has it.
-    pub(super) fn planned(&self, mut ask: Box<IncomingRequest>) -> Box<IncomingRequest> {
-        // Only an agent's runs can ask for calls themselves.
-        ask.needs_prefetch = ask.worker == Worker::Servers && self.calls.has_prefetch(ask.class);
-        ask.is_over_quota = self.fleet.as_ref().zip(ask.tenant).is_some_and(|(f, t)| f.charge_tenant(t));
-        ask
+    /// Completes a request: whether calls are prefetched for it, and whether its tenant is over its quota in the fleet.
+    pub(super) fn plan_request(&self, mut request: Box<IncomingRequest>) -> Box<IncomingRequest> {
+        // An agent's runs request their calls themselves.
+        request.needs_prefetch = request.worker == Worker::Servers && self.calls.has_prefetch(request.class);
+        request.is_over_quota = self
+            .fleet
+            .as_ref()
+            .zip(request.tenant)
+            .is_some_and(|(fleet, tenant)| fleet.charge_tenant(tenant));
+        request
     }
 
-    pub(super) fn conn_said(&mut self, now: Micros, said: FromConn) {
-        match said {
+    /// Handles an event from a connection's task: an input for the core, or the end of the connection.
+    pub(super) fn handle_connection_event(&mut self, now: Micros, event: FromConn) {
+        match event {
             FromConn::Input(mut input) => {
-                if let Input::RequestReceived(origin, ask) = input {
-                    input = Input::RequestReceived(origin, self.planned(ask));
+                if let Input::RequestReceived(origin, request) = input {
+                    input = Input::RequestReceived(origin, self.plan_request(request));
                 }
                 let origin = if let Input::RequestReceived(o, _) = &input { Some(*o) } else { None };
                 self.node.handle_input(now, input, &mut self.outputs);
                 if let Some(o) = origin.filter(|_| self.stop_at.is_some()) {
-                    // A connection made after the notice learns of it with its first request.
-                    self.tell(o.connection, Reply::LastCall);
+                    // A connection made after the notice to leave gets the last call with its first request.
+                    self.send_reply(o.connection, Reply::LastCall);
                 }
             }
             FromConn::Closed { wire, conn, end } => {
@@ -140,29 +155,32 @@
         }
     }
 
-    pub(super) fn tell(&mut self, conn: u64, reply: Reply) {
-        let full = self.connections.get(&conn).is_some_and(|c| c.replies.try_send(reply).is_err());
-        if full {
-            // It does not read its answers: dropping the sender ends it.
-            if let Some(held) = self.log_limiter.permit() {
-                warn!(conn, held, "answers pile up; closed");
+    /// Queues a message for a connection's task. A connection whose queue is full is closed.
+    pub(super) fn send_reply(&mut self, conn: u64, reply: Reply) {
+        let is_full = self.connections.get(&conn).is_some_and(|c| c.replies.try_send(reply).is_err());
+        if is_full {
+            // The peer does not read its answers: dropping the sender ends the connection's task.
+            if let Some(suppressed) = self.log_limiter.permit() {
+                warn!(conn, suppressed, "the queue of replies is full; connection closed");
             }
             self.connections.remove(&conn);
         }
     }
 
-    pub(super) fn tell_all(&mut self, reply: impl Fn(Wire) -> Reply) {
+    /// Queues a message for each connection.
+    pub(super) fn send_reply_to_all(&mut self, reply: impl Fn(Wire) -> Reply) {
         let all: Vec<(u64, Wire)> = self.connections.iter().map(|(n, c)| (*n, c.wire)).collect();
         for (conn, wire) in all {
-            self.tell(conn, reply(wire));
+            self.send_reply(conn, reply(wire));
         }
     }
 
-    /// Only those that may be idle are woken. One that is told in vain, as its queue is full, loses nothing.
-    pub(super) fn close_idle(&mut self, now: Micros, span: Micros) {
-        for id in self.doorman.with(|d| d.idle_connections(now, span)) {
-            if let Some(c) = self.connections.get(&id.0) {
-                let _ = c.replies.try_send(Reply::CloseIdle(span));
+    /// Closes connections that have been idle for `span`. Only the tasks of connections that may be idle are woken; the message
+    /// to a task whose queue is full is dropped, which does no harm.
+    pub(super) fn close_idle_connections(&mut self, now: Micros, span: Micros) {
+        for id in self.admission.with(|a| a.idle_connections(now, span)) {
+            if let Some(connection) = self.connections.get(&id.0) {
+                let _ = connection.replies.try_send(Reply::CloseIdle(span));
             }
         }
     }
--- a/src/runtime/console.rs
+++ b/src/runtime/console.rs
@@ -1,4 +1,4 @@
-//! The control address: where its connections come in, and the driver of each.
+//! The control address: accepts its connections and answers a call on each.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -17,47 +17,55 @@
 use crate::log::LogRateLimiter;
 use crate::service::Service;
 
-/// Connections at a time: a few operators and the platform's checks. The eldest makes room for one more.
-const ROOM: usize = 16;
-/// Descriptors held back for the console, so that it answers when the node has used up all others.
-const HELD_BACK: usize = 4;
-/// How long a call may take to be whole: longer than any caller waits, short enough that silent ones do not pile up.
-const PATIENCE: Duration = Duration::from_millis(2_500);
-/// How long an answer may take to be taken, and the peer's close behind it.
-const LAST_WORDS: Duration = Duration::from_secs(1);
-/// Bytes that are read off behind a call that is answered already.
-const LINGER_MAX: usize = 64 << 10;
+/// Connections at a time: a few operators and the platform's checks. At this bound the oldest is closed for a new one.
+const CONNECTIONS_MAX: usize = 16;
+/// Descriptors reserved for the console, so that it answers when the node has used all others.
+const RESERVED_DESCRIPTORS: usize = 4;
+/// Time limit for receiving a complete call: longer than any caller waits, and short enough that silent connections do not
+/// accumulate.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time limit for sending an answer and for the peer's close after it.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Bytes that are read and discarded after a call that has been answered.
+const DISCARDED_BYTES_MAX: usize = 64 << 10;
 
-/// The service state, as the core's task and the console share it.
+/// Pause after a failure to accept.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The service state, shared by the event loop and the console.
 #[derive(Clone, Default)]
-pub(super) struct Shared {
+pub(super) struct SharedService {
     service: Rc<RefCell<Service>>,
-    bell: Rc<Notify>,
+    order_notify: Rc<Notify>,
     fleet: Rc<RefCell<Option<Rc<Fleet>>>>,
 }
 
-impl Shared {
-    /// The fleet that this process belongs to.
-    pub fn join(&self, fleet: Rc<Fleet>) {
+impl SharedService {
+    /// Sets the fleet that this process belongs to, so that the console answers calls about it.
+    pub fn set_fleet(&self, fleet: Rc<Fleet>) {
         self.fleet.replace(Some(fleet));
     }
 
-    /// Asks or tells the service state.
+    /// Calls a function with the service state.
     pub fn with<T>(&self, f: impl FnOnce(&mut Service) -> T) -> T {
         f(&mut self.service.borrow_mut())
     }
 
-    /// Waits for an order of the console.
-    pub async fn rung(&self) {
-        self.bell.notified().await;
+    /// Waits until the console has applied an order.
+    pub async fn order_applied(&self) {
+        self.order_notify.notified().await;
     }
 
-    /// Answers a call. An order is in force with its answer, not a turn of the core later.
+    /// Answers a call. An order is applied before it is answered, not in a later iteration of the event loop.
     fn answer(&self, call: Call) -> Answer {
         match call {
             Call::Ready => {
-                let (ready, state) = self.with(|s| (s.is_ready(), s.state()));
-                if ready { Answer::yes(format!("{state:?}")) } else { Answer::no(503, format!("{state:?}")) }
+                let (is_ready, state) = self.with(|s| (s.is_ready(), s.state()));
+                if is_ready {
+                    Answer::yes(format!("{state:?}"))
+                } else {
+                    Answer::no(503, format!("{state:?}"))
+                }
             }
             Call::Fleet => match &*self.fleet.borrow() {
                 Some(fleet) => Answer::yes(fleet.status_report().to_string()),
@@ -77,7 +85,7 @@
             Call::Order(order) => match self.with(|s| s.apply_order(order)) {
                 Ok(()) => {
                     info!("console: {order:?}");
-                    self.bell.notify_one();
+                    self.order_notify.notify_one();
                     Answer::yes(format!("{:?}", self.with(|s| s.state())))
                 }
                 Err(refusal) => {
@@ -89,73 +97,74 @@
     }
 }
 
-/// Copies of the console's own listener that hold descriptors back for its connections.
-struct HeldBack {
+/// Duplicates of the console's listener. Each occupies a descriptor that can be freed for a connection of the console.
+struct ReservedDescriptors {
     listener: Rc<TcpListener>,
     copies: RefCell<Vec<socket2::Socket>>,
 }
 
-impl HeldBack {
-    /// Holds back as many as are to be, or as the system still gives.
+impl ReservedDescriptors {
+    /// Reserves descriptors up to [`RESERVED_DESCRIPTORS`], or as many as the system grants.
     fn fill(&self) {
         let mut copies = self.copies.borrow_mut();
-        while copies.len() < HELD_BACK
+        while copies.len() < RESERVED_DESCRIPTORS
             && let Ok(copy) = socket2::SockRef::from(&*self.listener).try_clone()
         {
             copies.push(copy);
         }
     }
 
-    /// Lets go of one; false where there is none.
+    /// Frees one descriptor. False if none is reserved.
     fn release(&self) -> bool {
         self.copies.borrow_mut().pop().is_some()
     }
 }
 
-/// Answers calls for as long as the process lives. Each connection has a task of its own, so that one that says nothing
-/// holds up nobody.
-pub(super) async fn listen(listener: TcpListener, shared: Shared) {
-    let seldom = LogRateLimiter::default();
+/// Answers calls for as long as the process lives. Each connection has its own task, so that a silent connection does not delay
+/// others.
+pub(super) async fn serve(listener: TcpListener, shared: SharedService) {
+    let log_limiter = LogRateLimiter::default();
     let mut open: VecDeque<JoinHandle<()>> = VecDeque::new();
     let listener = Rc::new(listener);
-    let held_back = Rc::new(HeldBack { listener: listener.clone(), copies: RefCell::default() });
-    held_back.fill();
+    let reserved = Rc::new(ReservedDescriptors { listener: listener.clone(), copies: RefCell::default() });
+    reserved.fill();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                open.retain(|t| !t.is_finished());
-                if open.len() >= ROOM
-                    && let Some(eldest) = open.pop_front()
+                open.retain(|task| !task.is_finished());
+                if open.len() >= CONNECTIONS_MAX
+                    && let Some(oldest) = open.pop_front()
                 {
-                    eldest.abort();
+                    oldest.abort();
                 }
-                let (shared, held_back) = (shared.clone(), held_back.clone());
+                let (shared, reserved) = (shared.clone(), reserved.clone());
                 open.push_back(tokio::task::spawn_local(async move {
-                    talk(stream, shared).await;
-                    // Its descriptor is free at this moment, and nobody else has had a turn to take it.
-                    held_back.fill();
+                    serve_connection(stream, shared).await;
+                    // The connection's descriptor has just been freed, and no other task has run and could have taken it.
+                    reserved.fill();
                 }));
             }
-            // Most likely out of descriptors. One that was held back goes, and accepting again at once finds it free.
-            Err(_) if held_back.release() => {}
+            // Most likely no descriptor is free. A reserved one is freed, and the immediate retry can use it.
+            Err(_) if reserved.release() => {}
             Err(e) => {
-                if let Some(held) = seldom.permit() {
-                    warn!(held, "console: accept: {e}");
+                if let Some(suppressed) = log_limiter.permit() {
+                    warn!(suppressed, "console: accept: {e}");
                 }
-                sleep(Duration::from_millis(20)).await;
-                held_back.fill();
+                sleep(ACCEPT_RETRY_INTERVAL).await;
+                reserved.fill();
             }
         }
     }
 }
 
-async fn talk(mut stream: TcpStream, shared: Shared) {
-    let by = Instant::now() + PATIENCE;
+/// Reads one call, answers it and closes the connection.
+async fn serve_connection(mut stream: TcpStream, shared: SharedService) {
+    let deadline = Instant::now() + CALL_TIMEOUT;
     let _ = stream.set_nodelay(true);
     let mut console = Console::default();
     let mut buffer = [0; 1024];
-    let said = loop {
-        match timeout_at(by, stream.read(&mut buffer)).await {
+    let call = loop {
+        match timeout_at(deadline, stream.read(&mut buffer)).await {
             Err(_) => break Err(Fault::Late),
             Ok(Err(_)) => return,
             Ok(Ok(0)) => match console.ended() {
@@ -163,25 +172,25 @@
                 None => return,
             },
             Ok(Ok(n)) => {
-                if let Some(said) = console.feed(&buffer[..n]) {
-                    break said;
+                if let Some(call) = console.feed(&buffer[..n]) {
+                    break call;
                 }
             }
         }
     };
-    let answer = said.map_or_else(Answer::from, |call| shared.answer(call));
-    let words = async {
+    let answer = call.map_or_else(Answer::from, |call| shared.answer(call));
+    let send_answer = async {
         stream.write_all(&answer.bytes()).await?;
         stream.shutdown().await?;
-        // What is still coming in would turn the close into a reset that takes the answer with it.
-        let mut most = LINGER_MAX;
-        while most > 0 {
+        // Closing with unread bytes would send a reset, and the peer could lose the answer.
+        let mut remaining = DISCARDED_BYTES_MAX;
+        while remaining > 0 {
             match stream.read(&mut buffer).await? {
                 0 => break,
-                n => most = most.saturating_sub(n),
+                n => remaining = remaining.saturating_sub(n),
             }
         }
         Ok::<(), std::io::Error>(())
     };
-    let _ = timeout(LAST_WORDS, words).await;
+    let _ = timeout(ANSWER_TIMEOUT, send_answer).await;
 }
--- a/src/runtime/dependency_calls.rs
+++ b/src/runtime/dependency_calls.rs
@@ -25,25 +25,27 @@
 use crate::time::process;
 use crate::upstream::uwsgi;
 
-/// The platform's own tier is always the first.
+/// The ledger, which is the platform's own tier, always has the first index.
 const LEDGER: TierId = TierId(0);
 
-/// Replaced clients that may still have open calls at a time; more would mean reloads without end.
+/// Replaced clients that may have open calls at a time; more are reached only by reloads that follow each other without end.
 const DRAINING_CLIENTS_MAX: usize = 8;
 
-/// A run's call that the core has placed.
+/// A call that a run has requested and the core has accepted.
 pub(super) struct RunCall {
+    /// The core's id of the call.
     pub ticket: u64,
     pub name: String,
     pub class: ClassId,
-    pub nth: u32,
+    /// Index of the call within its run.
+    pub index: u32,
     pub deadline: Micros,
     pub body: Bytes,
     pub at_most_once: bool,
     pub is_retry: bool,
 }
 
-/// A stage of calls that come before a run.
+/// A stage of calls that are made before a run starts.
 pub(super) struct PrefetchStage {
     pub ticket: u64,
     pub name: String,
@@ -53,9 +55,9 @@
     pub packet: Bytes,
 }
 
-/// What is sent for a call.
+/// The content of a call, which is the same in each attempt.
 #[derive(Clone)]
-struct Payload {
+struct CallPayload {
     name: String,
     body: Bytes,
     at_most_once: bool,
@@ -64,17 +66,17 @@
 /// The calls to the tiers: the clients that decide, and the connections and tasks that carry the attempts.
 pub(super) struct DependencyCalls {
     client: DependencyClient,
-    /// Clients that were replaced while calls were open, until these have ended.
+    /// Clients that were replaced while they had open calls, until these calls have ended.
     draining: Vec<DependencyClient>,
     tiers: Tiers,
     tier_names: Vec<String>,
     /// Idle connections by endpoint.
     pools: HashMap<SocketAddr, Pool>,
     idle_per_endpoint: usize,
-    /// By the call's ticket.
-    payloads: HashMap<u64, Payload>,
+    /// The content of each open call, by its ticket.
+    payloads: HashMap<u64, CallPayload>,
     tasks: HashMap<AttemptId, JoinHandle<()>>,
-    /// A buffer that is reused.
+    /// A reused buffer, to avoid an allocation for each event.
     actions: Vec<CallAction>,
     prefetcher: Prefetcher,
     /// The fleet whose budgets bound the calls.
@@ -82,8 +84,9 @@
 }
 
 impl DependencyCalls {
-    /// Calls by these tiers and plans; `idle` connections are kept over all endpoints.
-    pub fn new(now: Micros, tiers: &Tiers, idle: usize, seed: u64) -> DependencyCalls {
+    /// Makes calls by these tiers and plans. At most `idle_connections` are kept over all endpoints, but one for each at
+    /// least.
+    pub fn new(now: Micros, tiers: &Tiers, idle_connections: usize, seed: u64) -> DependencyCalls {
         let endpoints = tiers.plans.tiers.iter().map(|tier| tier.endpoints.len()).sum::<usize>().max(1);
         DependencyCalls {
             tier_names: tier_names(tiers),
@@ -91,7 +94,7 @@
             draining: Vec::new(),
             tiers: tiers.clone(),
             pools: HashMap::new(),
-            idle_per_endpoint: (idle / endpoints).max(1),
+            idle_per_endpoint: (idle_connections / endpoints).max(1),
             payloads: HashMap::new(),
             tasks: HashMap::new(),
             actions: Vec::new(),
@@ -100,9 +103,9 @@
         }
     }
 
-    /// Has each call take a permit of the fleet's budgets, from now on.
+    /// From now on each call takes a permit from the fleet's budgets, and the fleet's zones decide its endpoint.
     pub fn set_fleet(&mut self, fleet: Rc<Fleet>) {
-        self.client.set_quota(fleet.shares(&self.tiers));
+        self.client.set_quota(fleet.quota(&self.tiers));
         self.client.set_routes(fleet.routes(&self.tiers));
         self.fleet = Some(fleet);
     }
@@ -119,25 +122,26 @@
         self.tiers.plans.prefetch(class.0).is_some()
     }
 
-    /// Takes out what was prefetched for a request whose run begins.
+    /// Removes and returns the prefetched responses for a request whose run begins.
     pub fn take_prefetched(&mut self, name: &str) -> PrefetchResult {
         self.prefetcher.take_result(name)
     }
 
-    /// The operator's file of the tiers.
-    pub fn file(&self) -> Option<&Path> {
+    /// The path of the operator's tiers file, if there is one.
+    pub fn tiers_file(&self) -> Option<&Path> {
         self.tiers.file.as_deref()
     }
 
-    /// When the clients' timers are next due.
+    /// When the next timer of a client is due.
     pub fn next_timeout(&self) -> Option<Micros> {
         std::iter::once(&self.client).chain(&self.draining).filter_map(DependencyClient::next_timeout).min()
     }
 
-    /// Replaces tiers and plans; the former ones are left in `tiers`. Open calls end as they were planned; what was known of
-    /// the former tiers is dropped. Returns false, and changes nothing, while too many clients are draining.
+    /// Replaces tiers and plans; the former ones are left in `tiers`. Open calls end by the plans that they started with; the
+    /// state of circuits, limits and endpoints is not carried over to the new tiers. Returns false, and changes nothing, while too many clients are
+    /// draining.
     pub fn replace(&mut self, now: Micros, tiers: &mut Tiers) -> bool {
-        // Without plans the client does not use the class's index.
+        // A client without plans does not use class indexes, so that other classes make no difference to it.
         let has_same_classes = tiers.same_classes(&self.tiers) || tiers.plans.classes.is_empty();
         if tiers.plans == self.tiers.plans && has_same_classes {
             std::mem::swap(&mut self.tiers, tiers);
@@ -150,7 +154,7 @@
         let former = std::mem::replace(&mut self.client, placeholder);
         self.client = former.successor(now, tiers.plans.clone());
         if let Some(fleet) = &self.fleet {
-            self.client.set_quota(fleet.shares(tiers));
+            self.client.set_quota(fleet.quota(tiers));
             self.client.set_routes(fleet.routes(tiers));
         }
         self.draining.push(former);
@@ -168,7 +172,7 @@
         self.draining.len() >= DRAINING_CLIENTS_MAX
     }
 
-    /// Hands an event to the client in use and the draining ones: only the one that knows the call acts on it.
+    /// Passes an event to the current client and the draining ones; only the client that has the call acts on it.
     fn for_each_client(
         &mut self,
         mut handle: impl FnMut(&mut DependencyClient, &mut Vec<CallAction>),
@@ -182,13 +186,14 @@
         actions
     }
 
-    /// Moves the ledger to another address. Calls in flight end where they are, and their connections with them.
+    /// Moves the ledger to another address. Calls in flight end at the former address, and their connections are closed
+    /// afterwards.
     pub fn move_ledger(&mut self, from: Option<SocketAddr>, to: Option<SocketAddr>) {
         if from == to {
             return;
         }
         if let Some(from) = from {
-            // Connections in use return to a pool that nobody uses any more.
+            // Connections in use return to this removed pool, which is no longer used.
             self.pools.remove(&from);
         }
         let to: Vec<SocketAddr> = to.into_iter().collect();
@@ -197,8 +202,8 @@
         self.tiers.plans.tiers[LEDGER.0].endpoints = to;
     }
 
-    /// Logs the counters. Those of the platform's ledger alone are among the core's.
-    pub fn print(&self) {
+    /// Logs the counters of all tiers. If the ledger is the only tier, its counters are among those of the core instead.
+    pub fn log_counters(&self) {
         if self.prefetcher.partial_results > 0 {
             info!(
                 "prefetch: partial={} open={}",
@@ -237,17 +242,17 @@
 }
 
 impl Runtime {
-    /// Starts a run's call.
+    /// Starts a call that a run has requested.
     pub(super) fn start_run_call(&mut self, now: Micros, call: RunCall) {
         let request = CallRequest {
             ticket: call.ticket,
             class: call.class.0,
-            index: CallIndex::Run(call.nth as usize),
+            index: CallIndex::Run(call.index as usize),
             deadline: call.deadline,
             at_most_once: call.at_most_once,
             is_retry: call.is_retry,
         };
-        let payload = Payload { name: call.name, body: call.body, at_most_once: call.at_most_once };
+        let payload = CallPayload { name: call.name, body: call.body, at_most_once: call.at_most_once };
         self.calls.payloads.insert(call.ticket, payload);
         let mut actions = std::mem::take(&mut self.calls.actions);
         self.calls.read_lease_clock();
@@ -255,14 +260,15 @@
         self.apply_call_actions(now, actions);
     }
 
-    /// Takes the outcome of an attempt, and what it proves to whoever counts it downstream.
+    /// Handles the end of an attempt. `evidence` says what is known of the attempt's use of the fleet's budgets, and so when its
+    /// permit may be released.
     pub(super) fn call_attempt_ended(
         &mut self,
         now: Micros,
         attempt: AttemptId,
         (outcome, body, evidence): (Outcome, Bytes, ReleaseEvidence),
     ) {
-        // One that was cancelled in the same turn has nothing more to say.
+        // The result of an attempt that was cancelled in the same turn is ignored.
         if self.calls.tasks.remove(&attempt).is_none() {
             return;
         }
@@ -283,21 +289,22 @@
         self.apply_prefetch_actions(now, class, &packet, actions);
     }
 
-    /// Ends a stage whose time is up.
+    /// Ends a stage whose deadline has passed.
     pub(super) fn expire_prefetch_stage(&mut self, now: Micros, ticket: u64) {
         let mut actions = Vec::new();
         self.calls.prefetcher.expire_stage(ticket, &mut actions);
         self.apply_prefetch_actions(now, ClassId(0), &Bytes::new(), actions);
     }
 
-    /// Drops what was prefetched for a request that is over.
+    /// Cancels the open calls and drops the prefetched responses of a request that has ended.
     pub(super) fn cancel_prefetch(&mut self, now: Micros, name: &str) {
         let mut actions = Vec::new();
         self.calls.prefetcher.cancel_request(name, &mut actions);
         self.apply_prefetch_actions(now, ClassId(0), &Bytes::new(), actions);
     }
 
-    /// `class` and `packet` are needed for calls that start, which only the start of a stage causes.
+    /// Carries out the prefetcher's actions. `class` and `packet` are used only by calls that start, which happens only at the
+    /// start of a stage.
     fn apply_prefetch_actions(
         &mut self,
         now: Micros,
@@ -307,14 +314,14 @@
     ) {
         for action in actions {
             match action {
-                // One started before it may have failed at once.
+                // An earlier call of the stage may have failed at once and cancelled this one.
                 PrefetchAction::StartCall { ticket, .. } if !self.calls.prefetcher.is_waiting_for(ticket) => {
                 }
                 PrefetchAction::StartCall { ticket, name, index, deadline, plan } => {
-                    // Concurrent calls of one request need names of their own, as the tier knows calls by name.
+                    // Concurrent calls of one request need distinct names, as the tier identifies calls by name.
                     let name = format!("{name}.{}", plan[index].name);
                     let body = uwsgi::call_body(packet, plan[index].send.as_deref());
-                    let payload = Payload { name, body, at_most_once: false };
+                    let payload = CallPayload { name, body, at_most_once: false };
                     self.calls.payloads.insert(ticket, payload);
                     let request = CallRequest {
                         ticket,
@@ -339,14 +346,14 @@
         }
     }
 
-    /// Cancels an open call.
+    /// Cancels a call and its attempts; no effect if the call has ended.
     pub(super) fn cancel_call(&mut self, now: Micros, ticket: u64) {
         self.calls.payloads.remove(&ticket);
         let actions = self.calls.for_each_client(|client, actions| client.cancel_call(now, ticket, actions));
         self.apply_call_actions(now, actions);
     }
 
-    /// Runs the timers that have fallen due.
+    /// Runs the due timers of all clients: retries, hedges and deadlines.
     pub(super) fn run_due_call_timers(&mut self) {
         let now = process::now();
         let actions = self.calls.for_each_client(|client, actions| client.run_due_timers(now, actions));
@@ -392,12 +399,13 @@
         self.calls.actions = actions;
     }
 
-    /// Spawns the task of one attempt. It reads the lease clock once more before it writes.
+    /// Spawns the task of one attempt. The task reads the lease clock again before it writes, and does not send at or after
+    /// `send_before`.
     fn spawn_attempt(
         &mut self,
         attempt: AttemptId,
         address: SocketAddr,
-        payload: Payload,
+        payload: CallPayload,
         timeout: Micros,
         send_before: Option<LeaseInstant>,
     ) {
--- a/src/runtime/door.rs
+++ b/src/runtime/door.rs
@@ -1,4 +1,4 @@
-//! Where connections come in.
+//! Listening sockets: binding them, accepting connections, and the socket options of a connection.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,50 +18,53 @@
 use crate::log::LogRateLimiter;
 use crate::stream::is_transient;
 
-/// A connection that has come in, with the permit that it holds until its descriptor is free again.
-pub(super) struct Newcomer {
-    pub gate: ListenerId,
+/// An accepted connection, with the permit that it holds until its descriptor is closed.
+pub(super) struct AcceptedConnection {
+    pub listener: ListenerId,
     pub stream: TcpStream,
-    pub from: SocketAddr,
+    pub peer_address: SocketAddr,
     pub permit: OwnedSemaphorePermit,
 }
 
-/// Connections that wait to be accepted, as the standard library has it.
+/// Connections that the system queues until they are accepted, as many as the standard library asks for.
 const BACKLOG: u32 = 1024;
-/// Failures in a row that are looked past when a listener's queue is emptied.
-const ACCEPTS_MAX: usize = 64;
-/// How often a listener is opened anew where the system refuses it, and the pause between: a second.
-const LISTENS_MAX: usize = 50;
-const LISTEN_PAUSE: Duration = Duration::from_millis(20);
+/// Consecutive failures to accept that are skipped while a listener's queue is emptied.
+const ACCEPT_FAILURES_MAX: usize = 64;
+/// Pause after a failure to accept.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Attempts to open a listener that fails with a transient error. With [`LISTEN_RETRY_INTERVAL`] they take one second.
+const LISTEN_ATTEMPTS_MAX: usize = 50;
+/// Pause between two attempts to open a listener.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Listens at an address, over failures that pass: the system is short of something, or the address is not there yet. What is wrong
-/// for good, such as an address that another program has, is said at once.
+/// Listens at an address. Transient failures are retried: the system lacks a resource, or the address does not exist yet.
+/// Permanent ones, such as an address that another program uses, are returned at once.
 ///
 /// # Errors
-/// The system's reason.
-pub(super) fn listen(at: SocketAddr) -> std::io::Result<TcpListener> {
-    let passes = |e: &std::io::Error| {
-        let short = [Errno::MFILE, Errno::NFILE, Errno::ADDRNOTAVAIL];
-        is_transient(e) || short.iter().any(|errno| e.raw_os_error() == Some(errno.raw_os_error()))
+/// The system's error of the last attempt.
+pub(super) fn listen_with_retries(at: SocketAddr) -> std::io::Result<TcpListener> {
+    let is_retryable = |e: &std::io::Error| {
+        let retryable = [Errno::MFILE, Errno::NFILE, Errno::ADDRNOTAVAIL];
+        is_transient(e) || retryable.iter().any(|errno| e.raw_os_error() == Some(errno.raw_os_error()))
     };
-    for _ in 1..LISTENS_MAX {
+    for _ in 1..LISTEN_ATTEMPTS_MAX {
         match try_listen(at) {
-            Err(e) if passes(&e) => {
+            Err(e) if is_retryable(&e) => {
                 warn!("{at}: {e}; trying again");
-                // Nobody is served yet, so nobody waits for this.
-                std::thread::sleep(LISTEN_PAUSE);
+                // Blocking the thread is harmless, as the node does not serve yet.
+                std::thread::sleep(LISTEN_RETRY_INTERVAL);
             }
-            done => return done,
+            result => return result,
         }
     }
     try_listen(at)
 }
 
-/// Listens so that a second process of this node may listen beside this one (`SO_REUSEPORT`); where the system refuses
-/// that, alone.
+/// Listens once, with `SO_REUSEPORT` so that a second process of this node can listen at the same address. If the system
+/// refuses that option, listens without it.
 ///
 /// # Errors
-/// The system's reason.
+/// The system's error.
 fn try_listen(at: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -72,67 +75,71 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts connections, as many at a time as there are permits. Each holds one until its descriptor is free again, so
-/// that what waits for the core, or sends its last bytes, counts too.
-pub(super) async fn accept(
-    gate: ListenerId,
+/// Accepts connections, as many at a time as there are permits. Each holds a permit until its descriptor is closed, so
+/// that connections that wait for the core or send their last bytes count too.
+pub(super) async fn accept_connections(
+    id: ListenerId,
     listener: Rc<TcpListener>,
-    room: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     events: mpsc::Sender<Event>,
 ) {
-    let seldom = LogRateLimiter::default();
+    let log_limiter = LogRateLimiter::default();
     loop {
-        if room.available_permits() == 0 {
-            let _ = events.send(Event::ListenerFull(gate)).await;
+        if permits.available_permits() == 0 {
+            let _ = events.send(Event::ListenerFull(id)).await;
         }
-        let Ok(permit) = room.clone().acquire_owned().await else { return };
-        // The way to the core is there before a connection is taken off the queue: this task may be ended at each wait,
-        // and one that was accepted and not handed on would be reset with what it had asked.
-        let Ok(way) = events.reserve().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
+        // A place in the event queue is reserved before a connection is accepted: this task may be aborted at any await, and
+        // a connection that was accepted but not passed on would be reset and its requests lost.
+        let Ok(event_permit) = events.reserve().await else { return };
         match listener.accept().await {
-            Ok((stream, from)) => way.send(Event::Accepted(Newcomer { gate, stream, from, permit })),
-            // Out of descriptors, or the peer is gone already. Accepting again at once would spin.
+            Ok((stream, peer_address)) => {
+                let connection = AcceptedConnection { listener: id, stream, peer_address, permit };
+                event_permit.send(Event::Accepted(connection));
+            }
+            // No descriptor is free, or the peer has already closed the connection. An immediate retry would spin.
             Err(e) => {
-                drop(way);
-                if let Some(held) = seldom.permit() {
-                    warn!(gate = gate.0, held, "accept: {e}");
+                drop(event_permit);
+                if let Some(suppressed) = log_limiter.permit() {
+                    warn!(listener = id.0, suppressed, "accept: {e}");
                 }
-                let _ = events.send(Event::ListenerFull(gate)).await;
-                sleep(Duration::from_millis(20)).await;
+                let _ = events.send(Event::ListenerFull(id)).await;
+                sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// The next connection that waits in a listener's queue, if any: what is there when the listener closes would be reset,
-/// and its callers have been told that it is accepted.
-pub(super) fn queued(listener: &TcpListener) -> Option<(TcpStream, SocketAddr)> {
-    for _ in 0..ACCEPTS_MAX {
-        // Asked of the system itself, as the reactor may not know of it yet.
+/// Accepts the next connection in a listener's queue, if there is one. Connections that are still queued when the listener
+/// closes would be reset, though their callers see them as established.
+pub(super) fn accept_queued(listener: &TcpListener) -> Option<(TcpStream, SocketAddr)> {
+    for _ in 0..ACCEPT_FAILURES_MAX {
+        // Bypasses the reactor, which may not have seen the connection yet.
         match SockRef::from(listener).accept() {
             Ok((socket, from)) => {
                 socket.set_nonblocking(true).ok()?;
                 return Some((TcpStream::from_std(socket.into()).ok()?, from.as_socket()?));
             }
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return None,
-            // One that is gone already, or a failure that passes: others wait behind it.
+            // The peer has closed this connection, or the failure is transient: others may be queued behind it.
             Err(_) => {}
         }
     }
     None
 }
 
-/// Sets on a socket what its profile asks of the system: how a peer that went without a word is found, and how much
-/// of an answer the system takes in before the peer has.
+/// Sets the socket options of a connection's profile: keep-alive probes and the user timeout, which detect a peer that has
+/// vanished, and the size of the send buffer.
 ///
 /// # Errors
-/// The system's reason; the connection is served without.
+/// The system's error. The connection can be served without the options.
 pub fn set_socket_options(stream: &TcpStream, profile: &Profile) -> std::io::Result<()> {
     let socket = SockRef::from(stream);
-    if let Some(l) = &profile.liveness {
-        let (probe, timeout) = (Duration::from_micros(l.probe.0), Duration::from_micros(l.timeout.0));
+    if let Some(liveness) = &profile.liveness {
+        let (probe, timeout) =
+            (Duration::from_micros(liveness.probe.0), Duration::from_micros(liveness.timeout.0));
         socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(probe).with_interval(probe))?;
-        // It bounds the probes too, and what is sent and never acknowledged.
+        // Bounds the time of unanswered probes as well as that of sent bytes that are not acknowledged.
         socket.set_tcp_user_timeout(Some(timeout))?;
     }
     if let Some(bytes) = profile.send_buffer {
--- a/src/runtime/fleet/config_follower.rs
+++ b/src/runtime/fleet/config_follower.rs
@@ -1,9 +1,10 @@
-//! The configuration on the side of a node: notes which version is advertised, fetches it from a replica, and has it put in
-//! force.
+//! A node's side of the configuration: tracks the advertised version, fetches it from a replica, and has the event loop put
+//! it in force.
 //!
-//! All of that happens alongside requests: responses are taken in by small steps, settings are built on another thread, and
-//! only the swap is the core's. Any replica may serve, as what one has applied is agreed; after a failure the next one is used.
-//! No version is fetched beyond the one that was advertised to this node: the leader decides which nodes have it first.
+//! The node serves requests meanwhile: responses are processed in small steps, settings are built on another thread, and the
+//! event loop only swaps them. Any replica may serve a version, as a replica applies only agreed versions; after a failure
+//! the next replica is used. No version is fetched beyond the one that was advertised to this node, because the leader
+//! decides which nodes get a version first.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -30,20 +31,20 @@
 use crate::runtime::Event;
 use crate::runtime::replica::fetch::{FetchResult, Fetcher};
 
-/// Between two attempts to put a version in force that the work in progress leaves no room for.
+/// Pause between two attempts to put a version in force while open work prevents it.
 const POSTPONED_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// A connection to a replica that stays unused for longer is closed: it holds a permit that another node could use.
 const IDLE_CONNECTION_MAX: Duration = Duration::from_millis(100);
 /// Time limit for one replica to name its newest version to a node that starts.
 const NEWEST_TIMEOUT: Duration = Duration::from_millis(500);
-/// Between two rounds of asking all replicas for the newest version.
+/// Pause between two rounds of requests to all replicas for the newest version.
 const NEWEST_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Pause of a node that starts, while its follower has no next poll.
+/// Pause of a starting node whose follower has scheduled no poll, µs.
 const START_POLL_INTERVAL: Micros = Micros(10_000);
 /// Longest wait without a poll; a notification ends it earlier.
 const FOLLOW_WAIT_MAX: Duration = Duration::from_secs(3_600);
 
-/// What a node has of the configuration.
+/// A node's copy of the replicated configuration, and the schedule by which it follows new versions.
 pub(super) struct ConfigFollower {
     follower: RefCell<Follower>,
     spread: Spread,
@@ -52,14 +53,14 @@
     wake: Notify,
     /// Index of the replica that serves this node.
     replica_index: Cell<usize>,
-    /// The version that is ready was postponed.
+    /// Putting the ready version in force was postponed.
     is_postponed: Cell<bool>,
     /// Files that differed from the version in force when they were read again.
     file_conflicts: Cell<u64>,
 }
 
 impl ConfigFollower {
-    /// With nothing fetched. `jitter` spreads the nodes over the replicas and over time.
+    /// A follower that has fetched nothing. `jitter` spreads the nodes over the replicas and over time.
     pub(super) fn new(spread: Spread, jitter: u64, replica_count: usize) -> ConfigFollower {
         let schedule = FetchSchedule { spread: spread.within, ..FetchSchedule::default() };
         ConfigFollower {
@@ -77,7 +78,8 @@
         fleet.leader.borrow().nth_replica(self.replica_index.get())
     }
 
-    /// Fetches, and takes in the response step by step. After a failure the next replica is used.
+    /// Sends a request to the current replica and processes the response step by step. A failure, or a response without
+    /// data, selects the next replica.
     async fn fetch(
         &self,
         fleet: &Fleet,
@@ -108,11 +110,11 @@
             self.replica_index.set(self.replica_index.get().wrapping_add(1));
         }
         let outcome = self.follower.borrow_mut().receive_response(fleet.now_us(), response);
-        self.take_in(fleet, outcome).await
+        self.process_response(fleet, outcome).await
     }
 
-    /// Takes in the rest of a response, one step a turn of the event loop.
-    async fn take_in(&self, fleet: &Fleet, mut outcome: FetchOutcome) -> FetchOutcome {
+    /// Processes the rest of a response. Yields before each step, so that requests are served meanwhile.
+    async fn process_response(&self, fleet: &Fleet, mut outcome: FetchOutcome) -> FetchOutcome {
         while outcome == FetchOutcome::InProgress {
             yield_now().await;
             outcome = self.follower.borrow_mut().process_response(fleet.now_us());
@@ -120,7 +122,7 @@
         outcome
     }
 
-    /// Fetches until a version is ready to be put in force.
+    /// Sends requests until a version is ready to be put in force. Has no time limit of its own.
     async fn fetch_until_ready(&self, fleet: &Fleet) {
         let mut connection = None;
         loop {
@@ -128,7 +130,7 @@
             let request = self.follower.borrow_mut().poll_request(now);
             match request {
                 Some(request) => {
-                    // A replica that lags serves less than the newest version: the rest is fetched later.
+                    // A replica that lags serves a version below the newest; the rest is fetched later.
                     if self.fetch(fleet, &mut connection, request).await == FetchOutcome::Ready {
                         return;
                     }
@@ -150,20 +152,20 @@
         .map_or(FetchResponse::Failed, FetchResponse::Changes)
 }
 
-/// Follows the agreed versions for as long as the process lives.
+/// Follows the agreed versions for as long as the process lives. Returns at once if the fleet replicates no configuration.
 pub(in crate::runtime) async fn follow_versions(fleet: Rc<Fleet>, events: mpsc::Sender<Event>) {
     let Some(config) = &fleet.config_follower else { return };
     let mut connection = None;
-    // A start that ran out of time may have left a response half taken in, and nothing else is requested before its end.
-    if config.take_in(&fleet, FetchOutcome::InProgress).await == FetchOutcome::Ready
-        && events.send(Event::Version).await.is_err()
+    // If the start timed out, a response may be partly processed; no further request is made until it is finished.
+    if config.process_response(&fleet, FetchOutcome::InProgress).await == FetchOutcome::Ready
+        && events.send(Event::VersionReady).await.is_err()
     {
         return;
     }
     loop {
         if config.is_postponed.take() {
             sleep(POSTPONED_RETRY_INTERVAL).await;
-            if events.send(Event::Version).await.is_err() {
+            if events.send(Event::VersionReady).await.is_err() {
                 return;
             }
         }
@@ -171,7 +173,7 @@
         let request = config.follower.borrow_mut().poll_request(now);
         if let Some(request) = request {
             if config.fetch(&fleet, &mut connection, request).await == FetchOutcome::Ready
-                && events.send(Event::Version).await.is_err()
+                && events.send(Event::VersionReady).await.is_err()
             {
                 return;
             }
@@ -187,7 +189,7 @@
 }
 
 impl Fleet {
-    /// This node's report of its version.
+    /// This node's report to the leader: the version in force and the last rejected one.
     fn version_status(&self) -> Option<FleetMessage> {
         let follower = self.config_follower.as_ref()?.follower.borrow();
         let in_force = follower.in_force();
@@ -206,20 +208,20 @@
         }
     }
 
-    /// A replica advertises the version that this node may have.
-    pub(super) fn version_advertised(&self, advertised: Advertised) {
+    /// Handles a replica's advertisement of the version that this node may fetch.
+    pub(super) fn receive_advertisement(&self, advertised: Advertised) {
         let Some(config) = &self.config_follower else { return };
         config.follower.borrow_mut().receive_advertisement(self.now_us(), advertised);
         config.wake.notify_one();
     }
 
-    /// The settings and tiers that the process starts with: the newest version over its file's settings, with the tiers that fit
-    /// them, or the file's alone.
+    /// The settings and tiers that the process starts with: the newest version applied over the file's settings, with tiers
+    /// loaded for them; those of the file alone if no version arrives in time or the version is invalid.
     pub async fn initial_settings(&self, file: Settings, tiers: Tiers, config: &Config) -> (Settings, Tiers) {
         let Some(settings) = self.fetch_initial_settings(&file).await else { return (file, tiers) };
         match Tiers::load(tiers.file.as_deref(), config, &settings) {
             Ok(tiers) => {
-                self.version_adopted();
+                self.confirm_version_adopted();
                 (settings, tiers)
             }
             Err(e) => {
@@ -229,7 +231,8 @@
         }
     }
 
-    /// The newest version over a file's settings; none where it has not come within the configured time.
+    /// The newest version applied over a file's settings. `None` if there is no version, if it did not arrive within the
+    /// configured time, or if it is invalid.
     async fn fetch_initial_settings(&self, file: &Settings) -> Option<Settings> {
         let config = self.config_follower.as_ref()?;
         let start = Instant::now();
@@ -255,22 +258,22 @@
         }
     }
 
-    /// The newest version that any replica names. A replica that has only just started may not have applied all that was agreed,
-    /// so all of them are asked.
+    /// The newest version that any replica reports. All replicas are queried, as one that has just started may not have
+    /// applied all agreed versions. Has no time limit of its own.
     async fn newest_advertised(&self) -> Advertised {
         loop {
             let replicas: Vec<SocketAddr> = self.leader.borrow().replica_addrs().collect();
             let requests = replicas.into_iter().map(async |at| Fetcher::new(at).newest(NEWEST_TIMEOUT).await);
             let responses = futures_util::future::join_all(requests).await;
-            if let Some(newest) = responses.into_iter().flatten().max_by_key(|answer| answer.revision) {
+            if let Some(newest) = responses.into_iter().flatten().max_by_key(|response| response.revision) {
                 return newest;
             }
             sleep(NEWEST_RETRY_INTERVAL).await;
         }
     }
 
-    /// The version that was ready is in force.
-    pub fn version_adopted(&self) {
+    /// Records that the ready version is in force now, and reports it to the leader.
+    pub fn confirm_version_adopted(&self) {
         let Some(config) = &self.config_follower else { return };
         let former = config.follower.borrow_mut().confirm_adopted(self.now_us());
         let (revision, digest, classes, tenants) = {
@@ -285,12 +288,13 @@
         };
         info!(%digest, "version {revision} in force: {classes} classes, {tenants} tenants");
         config.wake.notify_one();
-        // On another thread: after a snapshot no part of it is shared, and freeing it takes a while.
+        // Freed on another thread: after a snapshot the former version shares no part with the new one, and freeing all of
+        // it would block the event loop.
         drop(spawn_blocking(move || drop(former)));
         self.report_version();
     }
 
-    /// The version that was ready can't be put in force; the one in force stays.
+    /// Rejects the ready version for this reason; the one in force stays. The rejection is reported to the leader.
     pub fn reject_version(&self, reason: String) {
         let Some(config) = &self.config_follower else { return };
         let ready = config.follower.borrow().ready().map(ConfigVersion::revision);
@@ -300,32 +304,32 @@
         self.report_version();
     }
 
-    /// Whether versions of the configuration come to this node.
+    /// Whether this node follows the fleet's replicated configuration.
     pub fn is_following_versions(&self) -> bool {
         self.config_follower.is_some()
     }
 
-    /// The version in force, where there is one.
+    /// The version in force. `None` before the first one, or if the fleet replicates no configuration.
     pub fn version_in_force(&self) -> Option<ConfigVersion> {
         let follower = self.config_follower.as_ref()?.follower.borrow();
         Some(follower.in_force().clone()).filter(|version| version.revision() > Revision::default())
     }
 
-    /// The version that is ready to be put in force.
+    /// The version that is fetched completely and waits to be put in force.
     pub fn ready_version(&self) -> Option<ConfigVersion> {
         self.config_follower.as_ref()?.follower.borrow().ready().cloned()
     }
 
-    /// The version that was ready can't be put in force yet.
+    /// Postpones the ready version: it is tried again after [`POSTPONED_RETRY_INTERVAL`].
     pub fn postpone_version(&self) {
         let Some(config) = &self.config_follower else { return };
         config.is_postponed.set(true);
         config.wake.notify_one();
     }
 
-    /// A file that was read again has so many classes and tenants otherwise than the version in force, which wins: the file's are
-    /// not put in force, as no replica has agreed to them.
-    pub fn note_file_conflict(&self, (classes, tenants): (usize, usize)) {
+    /// Counts and logs that a file that was read again differs from the version in force in this many classes and tenants.
+    /// The version wins: the file's classes and tenants are not put in force, as the replicas have not agreed on them.
+    pub fn record_file_conflict(&self, (classes, tenants): (usize, usize)) {
         let Some(config) = &self.config_follower else { return };
         config.file_conflicts.set(config.file_conflicts.get() + 1);
         let in_force = config.follower.borrow().in_force().revision();
@@ -334,7 +338,7 @@
         );
     }
 
-    /// The configuration's part of the control address's answer. Its keys are an interface.
+    /// The configuration's part of the response at the control address. Its keys are an interface.
     pub fn version_report(&self) -> Option<Value> {
         let config = self.config_follower.as_ref()?;
         let follower = config.follower.borrow();
--- a/src/runtime/fleet/mod.rs
+++ b/src/runtime/fleet/mod.rs
@@ -1,7 +1,8 @@
 //! This process as a member of its fleet: carries datagrams between it, the replicas of the lease ledger, and other members.
 //!
-//! What may be used of a budget is decided in [`LeaseHolder`], which replica is sent requests in [`LeaderTracker`], who is a
-//! member in [`Members`]. Nothing here waits for an answer: a lost datagram is made up for by the next one.
+//! [`LeaseHolder`] decides how much of a budget may be used, [`LeaderTracker`] which replica receives requests, and
+//! [`Members`] which processes are members. No function here waits for a response: the next datagram makes up for a
+//! lost one.
 
 mod config_follower;
 mod status_report;
@@ -39,24 +40,24 @@
 use crate::zone::status_cache::ZoneStatusCache;
 use config_follower::ConfigFollower;
 
-/// Pause after a failed receive, often for a peer's closed port.
+/// Pause after a failed receive, which is often caused by a peer's closed port.
 const RECEIVE_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Why a node can't join its fleet.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum FleetError {
     /// The node's name does not fit a datagram.
-    #[error("a node of a fleet has a name of 1 to {NAME_MAX} bytes; \"{0}\" has not")]
+    #[error("the name of a node in a fleet must have 1 to {NAME_MAX} bytes; \"{0}\" does not")]
     Name(String),
-    /// The socket was not bound at the address of the fleet's file.
+    /// The socket could not be bound at the address in the fleet's file.
     #[error("fleet {address}: {reason}")]
     Bind { address: SocketAddr, reason: std::io::Error },
-    /// The socket was not bound at a free port, or its address can't be read.
+    /// The socket could not be bound at a free port, or its address can't be read.
     #[error(transparent)]
     Socket(#[from] std::io::Error),
 }
 
-/// The fleet as this process takes part in it.
+/// This process's membership of its fleet: its leases, the other members, the zones and the followed configuration.
 pub(super) struct Fleet {
     config: fleet_config::Fleet,
     clock: LeaseClock,
@@ -69,6 +70,7 @@
     socket: UdpSocket,
     codec: DatagramCodec,
     leader: RefCell<LeaderTracker>,
+    /// Datagrams that were malformed or not meant for a node.
     dropped: Cell<u64>,
     log_limiter: LogRateLimiter,
     /// None where the fleet has no zones.
@@ -84,13 +86,13 @@
     let mut buffer = [0; FRAME_MAX + 1];
     loop {
         let Ok((length, from)) = fleet.socket.recv_from(&mut buffer).await else {
-            // The error concerns one peer; others go on sending.
+            // The error concerns one peer; datagrams of others still arrive.
             sleep(RECEIVE_RETRY_INTERVAL).await;
             continue;
         };
         match fleet.codec.decode(&buffer[..length]) {
             Ok(message) => {
-                if events.send(Event::Fleet(message)).await.is_err() {
+                if events.send(Event::FleetDatagram(message)).await.is_err() {
                     return;
                 }
             }
@@ -158,27 +160,28 @@
         })
     }
 
-    /// The clock of leases.
+    /// A copy of the clock by which leases expire.
     pub fn clock(&self) -> LeaseClock {
         self.clock
     }
 
-    /// Reads the clock for the permits that calls take next.
+    /// Reads the lease clock once; calls take their permits at that instant until the next refresh.
     pub fn refresh_clock(&self) {
         self.permit_time.set(self.clock.now());
     }
 
     /// The budgets that calls to these tiers take permits from.
-    pub fn shares(&self, tiers: &Tiers) -> FleetQuota {
+    pub fn quota(&self, tiers: &Tiers) -> FleetQuota {
         FleetQuota::new(self.lease_holder.clone(), self.permit_time.clone(), self.config.by_tier(tiers))
     }
 
-    /// Takes over the tenants' quotas for the settings in force.
+    /// Maps the tenants of the settings in force to the budgets of their quotas.
     pub fn update_tenant_budgets(&self, settings: &Settings) {
         *self.budget_by_tenant.borrow_mut() = self.config.by_member(settings);
     }
 
-    /// Takes a permit for a tenant's request from its quota, if it has one, by the clock's time now. True where none was left.
+    /// Takes a permit for a tenant's request from the tenant's quota, if it has one, at the lease clock's current time. True if
+    /// no permit was left.
     pub fn charge_tenant(&self, tenant: TenantId) -> bool {
         let budget = self.budget_by_tenant.borrow().get(&tenant).copied();
         budget.is_some_and(|budget| {
@@ -199,16 +202,16 @@
         (self.lease_request_due().min(members) - self.clock.now()).min(self.time_to_zone_timer())
     }
 
-    /// The process was asked to leave: it takes no new leases.
+    /// Handles the notice to leave: this process takes no new leases.
     pub fn begin_leaving(&self) {
         self.lease_holder.borrow_mut().start_drain();
     }
 
-    /// The process ends: what is not in use is handed back, and the other members are notified.
+    /// Returns the unused part of all leases and notifies the other members, as the process ends.
     pub fn shut_down(&self) {
         self.lease_holder.borrow_mut().close();
         self.request_leases();
-        // Once more, to all replicas: it can't be repeated later, and without it the lease has to run out.
+        // Sent to all replicas as well: it can't be repeated later, and if it is lost the lease has to expire.
         let leader = self.leader.borrow();
         for address in leader.replica_addrs() {
             let _ = self.socket.try_send_to(leader.frame(), address);
@@ -256,7 +259,7 @@
                 self.leader.borrow_mut().record_response();
                 let after = self.limits();
                 if before != after {
-                    debug!(epoch = response.epoch, "shares {before:?} -> {after:?}");
+                    debug!(epoch = response.epoch, "lease limits {before:?} -> {after:?}");
                 }
             }
             FleetMessage::NotLeader { leader: name, .. } => {
@@ -272,11 +275,11 @@
             }
             FleetMessage::Zones(statuses) => self.update_zone_statuses(&statuses),
             FleetMessage::OrderRejected(reason) => {
-                warn!("order not carried out: {reason}");
+                warn!("zone order not carried out: {reason}");
                 self.order_rejection.replace(Some(reason));
             }
             FleetMessage::NewestVersion { revision, digest } => {
-                self.version_advertised(Advertised { revision, digest });
+                self.receive_advertisement(Advertised { revision, digest });
             }
             FleetMessage::LeaseRequest(_)
             | FleetMessage::ZoneHealth { .. }
@@ -307,7 +310,8 @@
     }
 }
 
-/// The socket at that address, or at a free port where another process has it: most likely the one that this one replaces.
+/// Binds a socket at that address, or at a free port if the address is in use, most likely by the process that this one
+/// replaces.
 async fn bind_socket(address: SocketAddr) -> Result<UdpSocket, FleetError> {
     match UdpSocket::bind(address).await {
         Ok(socket) => Ok(socket),
@@ -336,14 +340,14 @@
 }
 
 impl Runtime {
-    /// A datagram has come.
+    /// Handles a datagram of the fleet, if this process belongs to one.
     pub(super) fn handle_fleet_message(&mut self, message: FleetMessage) {
         if let Some(fleet) = &self.fleet {
             fleet.handle_message(message);
         }
     }
 
-    /// Runs what is due for the fleet, and takes this node out of service or back with its zone.
+    /// Runs the fleet's due timers, and takes this node out of service or back with its zone.
     pub(super) fn run_fleet_timers(&mut self) {
         let Some(fleet) = &self.fleet else { return };
         fleet.run_timers();
@@ -352,7 +356,7 @@
             let state =
                 if out_of_service { "is out of service, as its zone is out" } else { "is in service again" };
             info!("zone: this node {state}");
-            self.list();
+            self.publish_mode();
         }
     }
 }
--- a/src/runtime/fleet/status_report.rs
+++ b/src/runtime/fleet/status_report.rs
@@ -1,4 +1,4 @@
-//! The fleet's figures for operators: counters in the log, and the control address's answer.
+//! The fleet's figures for operators: counters in the log, and the response at the control address.
 
 use serde_json::{Value, json};
 use tracing::info;
@@ -9,7 +9,7 @@
 use crate::fleet::{Budget, BudgetKind};
 
 impl Fleet {
-    /// Logs the counters.
+    /// Logs each budget's lease, and the number of members and dropped datagrams.
     pub fn log_counters(&self) {
         let now = self.clock.now();
         for (budget, status) in self.lease_holder.borrow().status(now) {
@@ -28,7 +28,8 @@
         info!("fleet: members={} dropped={dropped}", members.peers().count() + 1);
     }
 
-    /// The control address's answer: budgets, members, zones, and the version of the configuration. Its keys are an interface.
+    /// The response at the control address: budgets, members, zones, and the version of the configuration. Its keys are an
+    /// interface.
     pub fn status_report(&self) -> Value {
         let (now, lease_holder, members) =
             (self.clock.now(), self.lease_holder.borrow(), self.members.borrow());
--- a/src/runtime/fleet/version_settings.rs
+++ b/src/runtime/fleet/version_settings.rs
@@ -1,12 +1,12 @@
-//! The settings that a version of the configuration makes over those of a file, and where the two differ.
+//! Applies a version of the configuration over the settings of a file, and counts where the two differ.
 
 use crate::config_store::{ConfigVersion, RecordKind};
 use crate::interface::{ClassSettings, Settings, SettingsError, TenantSettings};
 
-/// The settings of a version over those of a file, checked, with their indexes built.
+/// Applies a version over the settings of a file, validates the result and builds its indexes.
 ///
 /// # Errors
-/// Why the settings are invalid.
+/// The rule that the combined settings break.
 pub(in crate::runtime) fn apply_version(
     version: &ConfigVersion,
     file: &Settings,
@@ -17,7 +17,7 @@
     Ok(settings)
 }
 
-/// How many classes and tenants a file has otherwise than a version; none where the version has no classes.
+/// How many classes and how many tenants differ between a file and a version; zero of both if the version has no classes.
 pub(in crate::runtime) fn count_differences(version: &ConfigVersion, file: &Settings) -> (usize, usize) {
     if version.count(RecordKind::Class) == 0 {
         return (0, 0);
--- a/src/runtime/fleet/zone_follower.rs
+++ b/src/runtime/fleet/zone_follower.rs
@@ -1,4 +1,5 @@
-//! Zones on the side of a node: reports what its calls show of them, and follows what the replicas decide.
+//! A node's side of the zones: reports the zones' health as its calls show it, and follows the statuses that the replicas
+//! decide.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,7 +17,7 @@
 use crate::zone::{ZoneOrder, ZoneStatus, ZoneStatusMap};
 
 impl Fleet {
-    /// Which zones calls to these tiers may go to; none where the fleet has no zones.
+    /// Which zones calls to these tiers may go to. `None` if the fleet has no zones.
     pub fn routes(&self, tiers: &Tiers) -> Option<ZoneRoutes> {
         let zone_status = self.zone_status.clone()?;
         Some(ZoneRoutes::new(zone_status, self.permit_time.clone(), self.config.routes(tiers)?))
@@ -27,27 +28,27 @@
         Micros(self.clock.now().0)
     }
 
-    /// Calls a function with the zones' statuses; none where the fleet has no zones.
+    /// Calls a function with the zones' statuses and the time. `None` if the fleet has no zones.
     fn with_zones<T>(&self, f: impl FnOnce(&mut ZoneStatusCache, Micros) -> T) -> Option<T> {
         let now = self.now_us();
         self.zone_status.as_ref().map(|cache| f(&mut cache.borrow_mut(), now))
     }
 
-    /// How long until the next report is due.
+    /// Time until the next health report is due; the maximum if the fleet has no zones.
     pub(super) fn time_to_zone_timer(&self) -> Micros {
         self.with_zones(|cache, now| cache.next_report_at() - now).unwrap_or(Micros(u64::MAX))
     }
 
-    /// Whether this node should take no callers, as its own zone is out.
+    /// Whether this node should accept no callers because its own zone is out.
     pub fn is_out_of_service(&self) -> bool {
         self.with_zones(|cache, now| cache.is_own_zone_out(now)).unwrap_or(false)
     }
 
-    /// Sends the leader what this node's calls show of the zones, once that is due.
+    /// Sends the zones' health as this node's calls show it to the leader, once a report is due.
     pub(super) fn report_zone_health(&self) {
         let report = self
             .with_zones(|cache, now| cache.take_report(now).map(|reports| (cache.statuses().epoch, reports)));
-        let Some(Some((epoch, seen))) = report else { return };
+        let Some(Some((epoch, reports))) = report else { return };
         match self.with_zones(ZoneStatusCache::take_staleness_change).flatten() {
             Some(true) => warn!("zones: no replica heard from; from here on by this node's own evidence"),
             Some(false) => info!("zones: replicas heard from again"),
@@ -55,26 +56,27 @@
         }
         let node = self.lease_holder.borrow().holder().name.clone();
         let zone = self.config.here.zone.clone();
-        if let Ok(frame) = self.codec.encode(&FleetMessage::ZoneHealth { node, zone, epoch, reports: seen })
+        if let Ok(frame) = self.codec.encode(&FleetMessage::ZoneHealth { node, zone, epoch, reports })
             && let Some(address) = self.leader.borrow().current()
         {
             let _ = self.socket.try_send_to(&frame, address);
         }
     }
 
-    /// Takes over the zones' statuses from a replica, and logs those that changed.
+    /// Stores the zones' statuses from a replica, and logs those that changed.
     pub(super) fn update_zone_statuses(&self, statuses: &ZoneStatusMap) {
         let changes = self.with_zones(|cache, now| cache.receive_statuses(now, statuses)).unwrap_or_default();
-        for (was, is) in changes {
-            let order = is.order.map_or(String::new(), |order| format!(" ({order:?})"));
+        for (before, after) in changes {
+            let order = after.order.map_or(String::new(), |order| format!(" ({order:?})"));
             info!(
-                zone = %is.zone, epoch = statuses.epoch,
-                "zone {} {} -> {} {}{order}", was.state, was.weight, is.state, is.weight
+                zone = %after.zone, epoch = statuses.epoch,
+                "zone {} {} -> {} {}{order}", before.state, before.weight, after.state, after.weight
             );
         }
     }
 
-    /// Sends an operator's order to all replicas; the leader carries it out. False where the fleet has no zones.
+    /// Sends an operator's order to all replicas; the leader carries it out. False if the order can't be encoded or the fleet
+    /// has no zones.
     pub fn send_zone_order(&self, zone: &str, order: ZoneOrder) -> bool {
         self.order_rejection.replace(None);
         let Ok(frame) = self.codec.encode(&FleetMessage::ZoneOrder { zone: zone.to_owned(), order }) else {
@@ -86,14 +88,14 @@
         self.zone_status.is_some()
     }
 
-    /// The zones' part of the control address's answer. Its keys are an interface.
+    /// The zones' part of the response at the control address. Its keys are an interface.
     pub(super) fn zones_report(&self) -> Value {
-        let Some((statuses, is_blind)) =
+        let Some((statuses, is_stale)) =
             self.with_zones(|cache, now| (cache.statuses().clone(), cache.is_stale(now)))
         else {
             return Value::Null;
         };
-        json!({"epoch": statuses.epoch, "own_evidence": is_blind, "refused": *self.order_rejection.borrow(),
+        json!({"epoch": statuses.epoch, "own_evidence": is_stale, "refused": *self.order_rejection.borrow(),
             "zones": statuses.statuses.iter().map(zone_report).collect::<Vec<_>>()})
     }
 }
@@ -103,7 +105,7 @@
         "failures": status.consecutive_failures, "order": status.order.map(|order| format!("{order:?}").to_lowercase())})
 }
 
-/// A node's zone statuses, where the fleet's file has zones.
+/// A new cache of the zones' statuses. `None` if the fleet's file has no zones.
 pub(super) fn zone_status_cache(
     config: &fleet_config::Fleet,
     now: Micros,
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! The node on real sockets: the event loop, which owns the core and carries out its outputs, and small tasks around it that
-//! own a socket each and talk to it over a bounded channel. It decides nothing about requests.
+//! Runs a node on real sockets. The event loop owns the core and carries out its outputs; each socket belongs to a small task
+//! that exchanges messages with the event loop over a bounded channel. All decisions about requests are the core's.
 
 mod agent_link;
 pub mod clock;
@@ -54,30 +54,36 @@
 use crate::time::process;
 use crate::upstream::uwsgi::{self, Servers};
 
-/// After the notice to leave, everything is answered this long before the process is stopped, and sockets are closed.
+/// All requests are answered and the sockets are closed this long before the platform stops the process after its notice to
+/// leave.
 const ANSWERED_BEFORE_STOP: Micros = Micros::from_millis(300);
-/// The process has exited this long before it would be stopped.
+/// The process exits at the latest this long before the platform would stop it.
 const EXIT_BEFORE_STOP: Micros = Micros::from_millis(80);
-/// Events queued for the event loop; tasks wait when it is full.
+/// Events queued for the event loop, and events handled in one turn; tasks wait while the queue is full.
 const EVENT_QUEUE_MAX: usize = 1024;
+/// Interval at which the event loop checks whether the last connections' tasks have ended, once all sockets are closed.
+const FINISHING_CHECK_INTERVAL: Micros = Micros::from_millis(10);
+/// Longest wait of the event loop when no timer is set, µs.
+const IDLE_WAIT_US: u64 = 1_000_000;
 
-/// What reaches the event loop.
+/// An event that a task sends to the event loop. A link number tells the current agent link from earlier ones.
 enum Event {
     Connection(FromConn),
-    Accepted(door::Newcomer),
+    Accepted(door::AcceptedConnection),
     ListenerFull(ListenerId),
     AgentLinked(u64, mpsc::Sender<Bytes>),
     AgentNotice(u64, Notice),
     AgentUnlinked(u64, End),
     CallEnded(AttemptId, (Outcome, Bytes, ReleaseEvidence)),
-    Fleet(FleetMessage),
-    /// A version of the configuration has come.
-    Version,
+    FleetDatagram(FleetMessage),
+    /// A version of the configuration is ready to be put in force.
+    VersionReady,
     RunEnded(String, Outcome, Bytes),
     Handover(hot_restart::PeerLinkEvent),
     Datagrams(Vec<(SocketAddr, Bytes)>),
-    FilesRead(Box<Result<reload::Told, reload::TurnedDown>>),
-    OpenCoap,
+    ConfigRead(Box<Result<reload::PreparedConfig, reload::ReloadError>>),
+    /// The CoAP socket could not be bound; it is time for another attempt.
+    RetryCoapBind,
 }
 
 impl From<FromConn> for Event {
@@ -86,8 +92,8 @@
     }
 }
 
-/// A listener, as the runtime needs it.
-struct Gate {
+/// A listener's name in the log, and the protocol of its connections.
+struct ListenerInfo {
     name: String,
     wire: Wire,
 }
@@ -97,56 +103,62 @@
     settings: InForce,
     gauge_names: Vec<String>,
     agent: Agent,
-    /// The link in use and its number.
-    link: Option<(u64, mpsc::Sender<Bytes>)>,
-    connections: HashMap<u64, connections::Conn>,
-    gates: Vec<Gate>,
-    doorman: Doorman,
-    /// For log lines that a peer can cause.
+    /// The agent link in use: its number, and the sender of its bytes.
+    agent_link: Option<(u64, mpsc::Sender<Bytes>)>,
+    connections: HashMap<u64, connections::ConnectionHandle>,
+    /// By [`ListenerId`].
+    listener_infos: Vec<ListenerInfo>,
+    admission: Doorman,
+    /// Limits log lines that a peer can cause.
     log_limiter: LogRateLimiter,
     calls: DependencyCalls,
-    /// The uwsgi front's file, and the servers behind it.
+    /// The uwsgi front's settings, and the upstream servers.
     uwsgi: Option<(Rc<UwsgiConfig>, Servers)>,
+    /// Tasks of the runs on upstream servers, by the request's name.
     runs: HashMap<String, JoinHandle<()>>,
+    /// The mode that is reported to the directory.
     mode: watch::Sender<Mode>,
-    /// Whether this process serves, and the module's own word on it.
-    service: console::Shared,
+    /// Whether this process serves.
+    service: console::SharedService,
+    /// Whether the core considers the node healthy.
     is_healthy: bool,
-    /// What the file said when it was last read, and those who follow its addresses.
+    /// The configuration file as it was last read.
     config: Config,
-    /// A file that is being read, to take its place.
-    reading: Option<reload::Reading>,
-    /// Its settings, whatever is in force over them; where no version ever is, they are not kept a second time.
+    /// The reload in progress.
+    reload_in_progress: Option<reload::ReloadInProgress>,
+    /// The file's settings, without the version that is in force over them. Empty on a node that follows no versions, as its
+    /// settings in force are the file's.
     file_settings: Settings,
-    agent_at: watch::Sender<Option<SocketAddr>>,
-    lookup_at: watch::Sender<Option<SocketAddr>>,
+    /// The agent's address, for the task that keeps the link.
+    agent_address: watch::Sender<Option<SocketAddr>>,
+    /// The directory's address, for the task that reports to it.
+    directory_address: watch::Sender<Option<SocketAddr>>,
     events: mpsc::Sender<Event>,
-    /// The CoAP front.
-    coap: Option<coap::Driver>,
-    /// The fleet that this process belongs to.
+    coap: Option<coap::CoapDriver>,
+    /// The fleet that this process belongs to, if any.
     fleet: Option<Rc<fleet::Fleet>>,
-    /// Held by each connection's task, which may outlive its entry to send its last bytes.
-    alive: Rc<()>,
-    /// When the process is stopped, once that is known.
+    /// Counts the connections' tasks: each holds a clone. A task may outlive its entry in `connections` to send its last bytes.
+    connection_task_count: Rc<()>,
+    /// When the platform stops the process; `None` before the notice to leave.
     stop_at: Option<Micros>,
-    /// Listeners to open once the work is up or, where nobody serves yet, at once.
-    pending_listeners: Vec<listeners::Opening>,
-    listeners: Vec<listeners::Open>,
-    /// Listeners of a process that this one takes over from.
+    /// Listeners to open: at once or, in a successor, once the agent is connected and the incumbent has confirmed.
+    pending_listeners: Vec<listeners::PendingListener>,
+    listeners: Vec<listeners::OpenListener>,
+    /// Listeners that a successor has received from the incumbent.
     inherited_listeners: Vec<(SocketAddr, TcpListener)>,
-    /// The other process of this node, while one takes over from the other.
+    /// The link to the other process of this node during a hot restart.
     peer_process: Option<hot_restart::PeerLink>,
-    /// When this process was replaced.
+    /// When this process, as the incumbent, was replaced by its successor.
     replaced_at: Option<Micros>,
-    /// All is closed, and pending bytes are being sent.
+    /// All listeners are closed, and the connections' last bytes are being sent.
     is_finishing: bool,
     outputs: Vec<Output>,
 }
 
-/// Runs a node until it has been notified to leave and has left.
+/// Runs a node until it has had the notice to leave and has answered its requests.
 ///
 /// # Errors
-/// What kept it from starting.
+/// A socket that can't be opened, or settings that the core refuses.
 pub async fn run(
     config: Config,
     settings: Settings,
@@ -162,7 +174,7 @@
         Some(file) => Some(Rc::new(fleet::Fleet::open(file, &config.name).await?)),
         None => None,
     };
-    // What the replicas hold is in force from the start on, if it comes in time.
+    // The newest version of the replicas is in force from the start, if it arrives in time.
     let is_following = fleet.as_ref().is_some_and(|fleet| fleet.is_following_versions());
     let file_settings = if is_following { settings.clone() } else { Settings::default() };
     let (settings, tiers) = match &fleet {
@@ -171,8 +183,8 @@
     };
     let mut runtime = Runtime::new(config, settings, &edge, &tiers, mode, sender);
     runtime.file_settings = file_settings;
-    runtime.open_coap_front(&edge);
-    runtime.plan(&edge.listeners, edge.caller_room(runtime.config.limits.sockets));
+    runtime.create_coap_front(&edge);
+    runtime.plan_listeners(&edge.listeners, edge.caller_room(runtime.config.limits.sockets));
     if let Some(fleet) = fleet {
         runtime.join_fleet(fleet);
     }
@@ -183,17 +195,18 @@
     if let Some(fleet) = &runtime.fleet {
         fleet.shut_down();
     }
-    runtime.print();
+    runtime.log_counters();
     Ok(())
 }
 
-fn servers(u: &UwsgiConfig) -> Servers {
-    let ms = Duration::from_millis;
-    Servers::new(&u.hosts, ms(u.timeouts.connect_ms), ms(u.timeouts.run_ms), u.limits.reply_bytes)
+fn upstream_servers(uwsgi: &UwsgiConfig) -> Servers {
+    let connect_timeout = Duration::from_millis(uwsgi.timeouts.connect_ms);
+    let run_timeout = Duration::from_millis(uwsgi.timeouts.run_ms);
+    Servers::new(&uwsgi.hosts, connect_timeout, run_timeout, uwsgi.limits.reply_bytes)
 }
 
 impl Runtime {
-    /// A runtime that has opened nothing yet.
+    /// A runtime without open sockets or tasks.
     fn new(
         config: Config,
         settings: Settings,
@@ -216,26 +229,26 @@
             settings: InForce::new(settings),
             gauge_names: config.gauge_names(),
             agent: Agent::default(),
-            link: None,
+            agent_link: None,
             connections: HashMap::new(),
-            gates: Vec::new(),
-            doorman: Doorman::new(ConnectionAdmission::new(edge.door(&config))),
+            listener_infos: Vec::new(),
+            admission: Doorman::new(ConnectionAdmission::new(edge.door(&config))),
             log_limiter: LogRateLimiter::default(),
             calls: DependencyCalls::new(process::now(), tiers, idle_connections, config.lot()),
             coap: None,
             fleet: None,
-            uwsgi: uwsgi.map(|file| (Rc::new(file.clone()), servers(&file))),
+            uwsgi: uwsgi.map(|file| (Rc::new(file.clone()), upstream_servers(&file))),
             runs: HashMap::new(),
             mode,
-            service: console::Shared::default(),
+            service: console::SharedService::default(),
             is_healthy: true,
-            agent_at: watch::channel(config.agent).0,
-            lookup_at: watch::channel(config.lookup).0,
+            agent_address: watch::channel(config.agent).0,
+            directory_address: watch::channel(config.lookup).0,
             config,
-            reading: None,
+            reload_in_progress: None,
             file_settings: Settings::default(),
             events,
-            alive: Rc::default(),
+            connection_task_count: Rc::default(),
             stop_at: None,
             pending_listeners: Vec::new(),
             listeners: Vec::new(),
@@ -247,26 +260,26 @@
         }
     }
 
-    /// Makes the CoAP front, if the file has one; its socket opens with the listeners.
-    fn open_coap_front(&mut self, edge: &Edge) {
+    /// Creates the CoAP front, if the file has one; its socket opens with the listeners.
+    fn create_coap_front(&mut self, edge: &Edge) {
         if let (Some(coap), Some((uwsgi, _))) = (edge.coap.clone(), &self.uwsgi) {
             let seed = self.config.seed();
             let front = Coap::new(self.settings.clone(), Rc::new(coap), uwsgi.clone(), seed, process::now());
-            self.coap = Some(coap::Driver::new(front));
+            self.coap = Some(coap::CoapDriver::new(front));
         }
     }
 
-    /// Starts the tasks that hear the fleet, and bounds calls by its budgets.
+    /// Starts the tasks that receive the fleet's datagrams and versions, and bounds calls by the fleet's budgets.
     fn join_fleet(&mut self, fleet: Rc<fleet::Fleet>) {
         tokio::task::spawn_local(fleet::receive_datagrams(fleet.clone(), self.events.clone()));
         tokio::task::spawn_local(fleet::follow_versions(fleet.clone(), self.events.clone()));
         fleet.update_tenant_budgets(self.node.settings());
         self.calls.set_fleet(fleet.clone());
-        self.service.join(fleet.clone());
+        self.service.set_fleet(fleet.clone());
         self.fleet = Some(fleet);
     }
 
-    /// Takes over from a process of this node that serves, or opens the listeners where there is none.
+    /// Takes over from an incumbent process of this node or, if there is none, opens the listeners.
     async fn take_over_or_open(&mut self) -> Result<(), Box<dyn std::error::Error>> {
         let path = hot_restart::socket_path(&self.config.name, self.config.listen);
         let incumbent = match &path {
@@ -276,115 +289,125 @@
         match incumbent {
             Some(inherited) => self.become_successor(inherited),
             None => {
-                self.open()?;
+                self.open_listeners()?;
                 self.await_successors();
             }
         }
         Ok(())
     }
 
-    /// Has the agent's link made; without an agent the work starts at once.
+    /// Starts the task that keeps the agent's link; the core starts once the agent is connected, or at once without an agent.
     fn start_work(&mut self, is_cold: bool) -> Result<(), Box<dyn std::error::Error>> {
         if self.config.agent.is_some() {
-            let address = self.agent_at.subscribe();
-            tokio::task::spawn_local(agent_link::keep(address, self.events.clone()));
+            let address = self.agent_address.subscribe();
+            tokio::task::spawn_local(agent_link::maintain_link(address, self.events.clone()));
             return Ok(());
         }
-        self.start(is_cold)
+        self.start_core(is_cold)
     }
 
-    /// Starts the reports to the directory, and the control address if there is one.
+    /// Starts the reports to the directory, and listens at the control address if there is one.
     async fn start_reporting(&self, mode: watch::Receiver<Mode>) -> Result<(), Box<dyn std::error::Error>> {
-        let directory = self.lookup_at.subscribe();
-        let (name, lot) = (self.config.name.clone(), self.config.lot());
-        tokio::task::spawn_local(directory::report(directory, name, mode, lot));
+        let directory = self.directory_address.subscribe();
+        let (name, jitter) = (self.config.name.clone(), self.config.lot());
+        tokio::task::spawn_local(directory::report(directory, name, mode, jitter));
         if let Some(at) = self.config.console {
             let listener = TcpListener::bind(at).await.map_err(|e| format!("console {at}: {e}"))?;
-            tokio::task::spawn_local(console::listen(listener, self.service.clone()));
+            tokio::task::spawn_local(console::serve(listener, self.service.clone()));
         }
         Ok(())
     }
 
-    /// The event loop: takes what is ready, then one turn of the core; until all is closed after the notice to leave.
+    /// The event loop. Each iteration handles the events that are ready, runs the due timers and advances the core. Returns once
+    /// all is answered and closed after the notice to leave.
     async fn serve(
         &mut self,
         signals: &Signals,
         events: &mut mpsc::Receiver<Event>,
     ) -> Result<(), Box<dyn std::error::Error>> {
-        let (doorman, service) = (self.doorman.clone(), self.service.clone());
+        let (admission, service) = (self.admission.clone(), self.service.clone());
         loop {
-            let wake = self.wake(process::now());
+            let wake_at = self.next_wake_at(process::now());
             tokio::select! {
                 biased;
-                signal = signals.next() => self.signalled(signal),
-                event = events.recv() => self.take_ready(event, events)?,
-                () = doorman.rung() => {}
-                () = service.rung() => self.list(),
-                () = sleep_until(wake) => {}
+                signal = signals.next() => self.handle_signal(signal),
+                event = events.recv() => self.handle_ready_events(event, events)?,
+                () = admission.rung() => {}
+                () = service.order_applied() => self.publish_mode(),
+                () = sleep_until(wake_at) => {}
             }
-            self.sweep_door();
+            self.run_admission_timers();
             self.run_due_call_timers();
-            self.sweep_coap();
+            self.run_coap_timers();
             self.run_fleet_timers();
-            self.turn();
-            if self.left(events.is_empty()) {
+            self.advance_core();
+            if self.has_finished(events.is_empty()) {
                 return Ok(());
             }
         }
     }
 
-    /// Takes an event and all others that are ready, up to a bound: they make one turn.
-    fn take_ready(
+    /// Handles an event and those that are ready behind it, at most [`EVENT_QUEUE_MAX`], before the core advances once.
+    fn handle_ready_events(
         &mut self,
         first: Option<Event>,
         events: &mut mpsc::Receiver<Event>,
     ) -> Result<(), Box<dyn std::error::Error>> {
         let mut next = first;
-        let mut most = EVENT_QUEUE_MAX;
+        let mut remaining = EVENT_QUEUE_MAX;
         while let Some(event) = next {
-            self.take(event)?;
-            most -= 1;
-            next = if most > 0 { events.try_recv().ok() } else { None };
+            self.handle_event(event)?;
+            remaining -= 1;
+            next = if remaining > 0 { events.try_recv().ok() } else { None };
         }
         Ok(())
     }
 
-    fn signalled(&mut self, signal: Signal) {
+    fn handle_signal(&mut self, signal: Signal) {
         match signal {
-            Signal::Leave if self.stop_at.is_none() => self.leave(),
+            Signal::Leave if self.stop_at.is_none() => self.begin_leaving(),
             Signal::Leave => {}
             Signal::Reload => self.reload(),
-            Signal::Print => self.print(),
+            Signal::Print => self.log_counters(),
         }
     }
 
-    /// Prints what has been counted.
-    fn print(&self) {
+    /// Logs the counters of the core, the calls, the CoAP front and the connections.
+    fn log_counters(&self) {
         info!("counters: {}", self.node.counters);
-        let (tally, (half_in, owed), conns, sources) =
-            self.doorman.with(|d| (d.counters, d.buffered_bytes(), d.len(), d.source_count()));
-        self.calls.print();
+        let (counters, (unfinished_input, unsent_output), connections, sources) =
+            self.admission.with(|a| (a.counters, a.buffered_bytes(), a.len(), a.source_count()));
+        self.calls.log_counters();
         if let Some(driver) = &self.coap {
-            driver.print();
+            driver.log_counters();
         }
-        info!("door: conns={conns} sources={sources} half_in={half_in} owed={owed} {tally}");
+        info!(
+            "door: conns={connections} sources={sources} half_in={unfinished_input} owed={unsent_output} {counters}"
+        );
     }
 
-    fn wake(&self, now: Micros) -> Instant {
-        // Once all is closed, the last connections' tasks are looked after until they are done.
-        let look = now + Micros::from_millis(10);
-        let stop = self.stop_at.map(|s| {
-            if self.is_finishing { look.min(s - EXIT_BEFORE_STOP) } else { s - ANSWERED_BEFORE_STOP }
+    /// When the event loop next has to run without an event: at the earliest timer, or after [`IDLE_WAIT_US`].
+    fn next_wake_at(&self, now: Micros) -> Instant {
+        // Once all is closed, the loop polls for the end of the last connections' tasks.
+        let finishing_check = now + FINISHING_CHECK_INTERVAL;
+        let stop = self.stop_at.map(|stop| {
+            if self.is_finishing {
+                finishing_check.min(stop - EXIT_BEFORE_STOP)
+            } else {
+                stop - ANSWERED_BEFORE_STOP
+            }
         });
-        let coap = self.coap.as_ref().and_then(|d| d.deadline(now));
-        let at =
+        let coap = self.coap.as_ref().and_then(|driver| driver.next_timeout(now));
+        let next_timer =
             [self.node.next_deadline(), self.calls.next_timeout(), coap, stop].into_iter().flatten().min();
         let fleet = self.fleet.as_ref().map_or(u64::MAX, |f| f.time_to_next_timer().0);
-        let wait = at.map_or(1_000_000, |at| (at - now).0).min(self.doorman.wait().0).min(fleet);
+        let wait = next_timer.map_or(IDLE_WAIT_US, |at| (at - now).0).min(self.admission.wait().0).min(fleet);
         Instant::now() + Duration::from_micros(wait)
     }
 
-    fn start(&mut self, cold: bool) -> Result<(), Box<dyn std::error::Error>> {
+    /// Starts the core, and accepts connections unless the notice to leave has come. `cold`: the agent was started cold, or the
+    /// settings say so.
+    fn start_core(&mut self, cold: bool) -> Result<(), Box<dyn std::error::Error>> {
         let now = process::now();
         self.node.start(now, cold, &mut self.outputs)?;
         if self.stop_at.is_none() {
@@ -393,20 +416,20 @@
         Ok(())
     }
 
-    /// Takes clients from now on, unless the notice to leave has come first. Nobody is taken in before, to be told that there
-    /// is no service yet.
+    /// Opens the listeners and reports the node as serving, unless the notice to leave has come. The listeners open only now
+    /// so that no connection is accepted and then refused because the node does not serve yet.
     fn start_serving(&mut self) -> Result<(), Box<dyn std::error::Error>> {
         if self.stop_at.is_some() {
             return Ok(());
         }
-        self.open()?;
+        self.open_listeners()?;
         self.service.with(Service::start_serving);
-        self.list();
+        self.publish_mode();
         Ok(())
     }
 
-    /// Tells the directory where this process stands.
-    fn list(&self) {
+    /// Updates the mode that is reported to the directory.
+    fn publish_mode(&self) {
         let mode = match self.service.with(|s| s.directory_report(self.is_healthy)) {
             DirectoryReport::Silent => Mode::Silent,
             DirectoryReport::Open => Mode::Open,
@@ -415,31 +438,33 @@
         self.mode.send_if_modified(|m| std::mem::replace(m, mode) != mode);
     }
 
-    fn turn(&mut self) {
+    /// Advances the core and carries out its outputs. Starts to close once the answers are due or the handover is complete.
+    fn advance_core(&mut self) {
         let now = process::now();
         self.node.advance(now, &mut self.outputs);
-        self.dispatch(now);
+        self.carry_out_outputs(now);
         self.send_write_changes();
-        let over = self.stop_at.is_some_and(|s| now >= s - ANSWERED_BEFORE_STOP) || self.has_handed_over(now);
-        if over && !std::mem::replace(&mut self.is_finishing, true) {
-            self.tell_all(|_| Reply::Finish);
-            self.empty_queues();
-            self.close();
+        let is_time_to_close =
+            self.stop_at.is_some_and(|s| now >= s - ANSWERED_BEFORE_STOP) || self.has_handed_over(now);
+        if is_time_to_close && !std::mem::replace(&mut self.is_finishing, true) {
+            self.send_reply_to_all(|_| Reply::Finish);
+            self.accept_queued_connections();
+            self.close_listeners();
             self.close_coap();
         }
     }
 
-    /// The notice to leave.
-    fn leave(&mut self) {
+    /// Handles the notice to leave. With a ready successor this process hands over; otherwise it drains.
+    fn begin_leaving(&mut self) {
         let now = process::now();
         if let Some(fleet) = &self.fleet {
             fleet.begin_leaving();
         }
-        let succeeded = self.has_ready_successor();
-        self.service.with(|s| s.start_departure(succeeded));
-        if succeeded {
-            // The queue of connections lives on in the heir, which has the same listeners.
-            self.close();
+        let has_successor = self.has_ready_successor();
+        self.service.with(|s| s.start_departure(has_successor));
+        if has_successor {
+            // Queued connections are not lost: the successor has the same listeners.
+            self.close_listeners();
             let stop = self.earliest_kill(now);
             (self.stop_at, self.replaced_at) = (Some(stop), Some(now));
             info!(
@@ -452,87 +477,89 @@
                 Input::SuccessorStarted(stop - ANSWERED_BEFORE_STOP),
                 &mut self.outputs,
             );
-            return self.list();
+            return self.publish_mode();
         }
         let stop = self.earliest_kill(now);
         self.stop_at = Some(stop);
         self.node.handle_input(now, Input::DrainRequested(stop - ANSWERED_BEFORE_STOP), &mut self.outputs);
     }
 
-    /// Whether nothing is left to do before the process is stopped; `heard` where nothing waits for the core, such as a
-    /// connection that was accepted in the last moment.
-    fn left(&mut self, heard: bool) -> bool {
+    /// Whether the process can exit: after the last connection's task, or shortly before the platform stops the process.
+    /// `is_queue_empty`: no event waits, such as a connection that was accepted just before the listeners closed.
+    fn has_finished(&mut self, is_queue_empty: bool) -> bool {
         let Some(stop) = self.stop_at else { return false };
-        let done = heard && self.connections.is_empty() && Rc::strong_count(&self.alive) == 1;
-        self.is_finishing && (done || process::now() >= stop - EXIT_BEFORE_STOP)
+        let is_done = is_queue_empty
+            && self.connections.is_empty()
+            && Rc::strong_count(&self.connection_task_count) == 1;
+        self.is_finishing && (is_done || process::now() >= stop - EXIT_BEFORE_STOP)
     }
 
-    fn take(&mut self, event: Event) -> Result<(), Box<dyn std::error::Error>> {
+    fn handle_event(&mut self, event: Event) -> Result<(), Box<dyn std::error::Error>> {
         let now = process::now();
         match event {
-            Event::Connection(said) => self.conn_said(now, said),
-            Event::Accepted(new) => self.accepted(new),
-            Event::ListenerFull(gate) => self.full(gate),
-            Event::Fleet(talk) => self.handle_fleet_message(talk),
-            Event::Version => self.version_ready(),
+            Event::Connection(event) => self.handle_connection_event(now, event),
+            Event::Accepted(accepted) => self.serve_connection(accepted),
+            Event::ListenerFull(listener) => self.evict_for_listener(listener),
+            Event::FleetDatagram(message) => self.handle_fleet_message(message),
+            Event::VersionReady => self.adopt_ready_version(),
             Event::AgentLinked(n, sender) => {
-                if self.link.replace((n, sender)).is_some() {
-                    // Moved: what the old link still held is asked for again on this one.
+                if self.agent_link.replace((n, sender)).is_some() {
+                    // The agent has moved: whatever was in flight on the old link is requested again on this one.
                     self.agent.lost();
                 }
                 self.node.counters.agent_links += 1;
                 let mut out = BytesMut::new();
                 self.agent.linked(&mut out);
-                self.say(out);
+                self.send_to_agent(out);
             }
             Event::AgentUnlinked(n, end) => {
-                if self.link.as_ref().is_some_and(|l| l.0 == n) {
+                if self.agent_link.as_ref().is_some_and(|l| l.0 == n) {
                     warn!("agent link: {end}");
-                    self.link = None;
+                    self.agent_link = None;
                     self.agent.lost();
                 }
             }
             Event::AgentNotice(n, notice) => {
-                if self.link.as_ref().is_some_and(|l| l.0 == n) {
-                    self.said(now, notice)?;
+                if self.agent_link.as_ref().is_some_and(|l| l.0 == n) {
+                    self.handle_agent_notice(now, notice)?;
                 }
             }
             Event::Handover(event) => self.handle_peer_link_event(now, event)?,
-            Event::Datagrams(batch) => self.datagrams(now, batch),
-            Event::FilesRead(told) => self.told(*told),
-            Event::OpenCoap if self.stop_at.is_none() => self.open_coap(),
-            Event::OpenCoap => {}
-            Event::CallEnded(attempt, ended) => self.call_attempt_ended(now, attempt, ended),
-            Event::RunEnded(name, end, result) => {
+            Event::Datagrams(batch) => self.handle_datagrams(now, batch),
+            Event::ConfigRead(result) => self.handle_config_read(*result),
+            Event::RetryCoapBind if self.stop_at.is_none() => self.open_coap(),
+            Event::RetryCoapBind => {}
+            Event::CallEnded(attempt, result) => self.call_attempt_ended(now, attempt, result),
+            Event::RunEnded(name, outcome, result) => {
                 if self.runs.remove(&name).is_some() {
                     self.node.handle_input(
                         now,
-                        Input::RunEnded { name, outcome: end, result, duration: None },
+                        Input::RunEnded { name, outcome, result, duration: None },
                         &mut self.outputs,
                     );
                 }
             }
         }
-        // What is said while things are taken in must not wait behind the rest of them.
-        self.dispatch(now);
+        // The outputs of an event must not wait for the other events of this turn.
+        self.carry_out_outputs(now);
         Ok(())
     }
 
-    fn said(&mut self, now: Micros, notice: Notice) -> Result<(), Box<dyn std::error::Error>> {
+    fn handle_agent_notice(&mut self, now: Micros, notice: Notice) -> Result<(), Box<dyn std::error::Error>> {
         let mut out = BytesMut::new();
-        let news = self.agent.hear(notice, &mut out);
-        self.say(out);
-        let input = match news {
+        let new_notice = self.agent.hear(notice, &mut out);
+        self.send_to_agent(out);
+        let input = match new_notice {
             None => return Ok(()),
             Some(Notice::Greeting { cold, .. }) => {
                 if !self.node.is_started() {
-                    self.start(cold)?;
+                    self.start_core(cold)?;
                 }
                 return Ok(());
             }
             Some(Notice::Outcome { name, end, result, ms, .. }) => {
-                let took = Some(Micros::from_secs_f64(ms / 1e3));
-                Input::RunEnded { name, outcome: end, result, duration: took }
+                let duration = Some(Micros::from_secs_f64(ms / 1e3));
+                Input::RunEnded { name, outcome: end, result, duration }
             }
             Some(Notice::Request { n, name, body }) => Input::CallRequested { name, notice_id: n, body },
             Some(Notice::Sampled { tag, values }) => {
@@ -549,38 +576,39 @@
         Ok(())
     }
 
-    fn say(&mut self, out: BytesMut) {
-        let Some((n, link)) = &self.link else { return };
+    /// Queues bytes for the agent. Without a link they are dropped: a new link replays the commands.
+    fn send_to_agent(&mut self, out: BytesMut) {
+        let Some((n, link)) = &self.agent_link else { return };
         if !out.is_empty() && link.try_send(out.freeze()).is_err() {
-            // It reads nothing: a new link replays what this one may have lost.
+            // The agent reads nothing: a new link replays the commands that this one may have lost.
             warn!(link = n, "agent link {n}: {}", End::Stalled);
-            self.link = None;
+            self.agent_link = None;
             self.agent.lost();
         }
     }
 
-    fn dispatch(&mut self, now: Micros) {
+    /// Carries out the core's outputs, and those that arise meanwhile, in order.
+    fn carry_out_outputs(&mut self, now: Micros) {
         let mut to_agent = BytesMut::new();
-        // What is carried out may say more itself.
         while !self.outputs.is_empty() {
             for output in std::mem::take(&mut self.outputs) {
-                self.carry_out(now, output, &mut to_agent);
+                self.carry_out_output(now, output, &mut to_agent);
             }
         }
-        self.say(to_agent);
+        self.send_to_agent(to_agent);
     }
 
-    fn carry_out(&mut self, now: Micros, output: Output, to_agent: &mut BytesMut) {
+    fn carry_out_output(&mut self, now: Micros, output: Output, to_agent: &mut BytesMut) {
         match output {
             Output::Answer(o, answer, _) if o.front == Wire::Coap.front() => {
                 self.answer_coap(now, o.connection, &answer);
             }
             Output::Answer(o, answer, pressure) => {
-                self.tell(o.connection, Reply::Answer(o, answer, pressure))
+                self.send_reply(o.connection, Reply::Answer(o, answer, pressure))
             }
             Output::HealthResponse(o, ok, pressure) => {
                 let ok = ok && self.service.with(|s| s.is_healthy());
-                self.tell(o.connection, Reply::Health(o, ok, pressure));
+                self.send_reply(o.connection, Reply::Health(o, ok, pressure));
             }
             Output::Launch { worker: Worker::Agent, name, class, body } => {
                 let class = self.settings.get().classes[class.0].name.clone();
@@ -591,16 +619,16 @@
                 self.agent.command(&name, Command::Freeze, to_agent);
             }
             Output::StopRun(Worker::Servers, name) => {
-                // The server may go on; here nobody waits for it any more.
+                // The server may continue the run; its result is not awaited.
                 if let Some(run) = self.runs.remove(&name) {
                     run.abort();
-                    let end = Input::RunEnded {
+                    let input = Input::RunEnded {
                         name,
                         outcome: Outcome::Cancelled,
                         result: Bytes::new(),
                         duration: None,
                     };
-                    self.node.handle_input(now, end, &mut self.outputs);
+                    self.node.handle_input(now, input, &mut self.outputs);
                 }
             }
             Output::ResumeRun(name) => self.agent.command(&name, Command::Thaw, to_agent),
@@ -608,18 +636,18 @@
                 self.agent.command(&name, Command::Deliver(body), to_agent);
             }
             Output::SkipCall(name, n) => self.agent.command(&name, Command::Forgo(n), to_agent),
-            // Without a link nobody answers; the core waits only so long.
+            // Without a link no answer comes; the core waits for a limited time.
             Output::SampleGauges(tag) => _ = self.agent.ask("sample", &tag, to_agent),
             Output::RunDeepCheck(tag) => _ = self.agent.ask("exercise", &tag, to_agent),
             Output::PlaceCall {
                 call_id: ticket,
                 name,
                 class,
-                call_index: nth,
-                deadline: until,
+                call_index: index,
+                deadline,
                 body,
-                is_one_shot: once,
-                is_repeat: again,
+                is_one_shot: at_most_once,
+                is_repeat: is_retry,
             } => {
                 self.start_run_call(
                     now,
@@ -627,44 +655,46 @@
                         ticket,
                         name,
                         class,
-                        nth,
-                        deadline: until,
+                        index,
+                        deadline,
                         body,
-                        at_most_once: once,
-                        is_retry: again,
+                        at_most_once,
+                        is_retry,
                     },
                 );
             }
             Output::AbandonCall(ticket) => self.cancel_call(now, ticket),
-            Output::Prefetch { call_id: ticket, name, class, deadline: until, body } => {
+            Output::Prefetch { call_id: ticket, name, class, deadline, body } => {
                 self.start_prefetch_stage(
                     now,
-                    dependency_calls::PrefetchStage { ticket, name, class, deadline: until, packet: body },
+                    dependency_calls::PrefetchStage { ticket, name, class, deadline, packet: body },
                 );
             }
             Output::EndPrefetchStage(ticket) => self.expire_prefetch_stage(now, ticket),
             Output::CancelPrefetch(name) => self.cancel_prefetch(now, &name),
-            Output::HealthChanged(good) => {
-                self.is_healthy = good;
-                self.list();
+            Output::HealthChanged(is_healthy) => {
+                self.is_healthy = is_healthy;
+                self.publish_mode();
             }
-            Output::CloseIdleConnections(span) => self.close_idle(now, span),
-            Output::AnnounceDrain => self.tell_all(|_| Reply::LastCall),
+            Output::CloseIdleConnections(span) => self.close_idle_connections(now, span),
+            Output::AnnounceDrain => self.send_reply_to_all(|_| Reply::LastCall),
             Output::Log(text) => info!("{text}"),
         }
     }
 
+    /// Runs a request on the upstream servers, in a task of its own.
     fn run_upstream(&mut self, name: String, packet: Bytes) {
         let Some((_, servers)) = &self.uwsgi else { return };
         let (events, servers, run) = (self.events.clone(), servers.clone(), name.clone());
-        let gathered = self.calls.take_prefetched(&name);
+        let prefetched = self.calls.take_prefetched(&name);
         let task = tokio::task::spawn_local(async move {
-            let (end, reply) = match uwsgi::with_prefetched_vars(packet, &gathered) {
+            let (outcome, reply) = match uwsgi::with_prefetched_vars(packet, &prefetched) {
                 Some(packet) => servers.run(packet).await,
                 None => (Outcome::Bad, Bytes::new()),
             };
-            let reply = if end == Outcome::Good { uwsgi::mark_partial(reply, &gathered) } else { reply };
-            let _ = events.send(Event::RunEnded(run, end, reply)).await;
+            let reply =
+                if outcome == Outcome::Good { uwsgi::mark_partial(reply, &prefetched) } else { reply };
+            let _ = events.send(Event::RunEnded(run, outcome, reply)).await;
         });
         self.runs.insert(name, task);
     }
--- a/src/runtime/signals.rs
+++ b/src/runtime/signals.rs
@@ -1,7 +1,7 @@
-//! The signals that a process is sent.
+//! The signals that a process receives.
 //!
-//! tokio's own driver panics where its pipe can't be read for a moment, and the process would die with all that it owes. Here a flag
-//! tells of each signal, and a pipe only wakes who waits for one: a read of it that fails costs a pause.
+//! tokio's own signal driver panics when a read of its pipe fails, even once, and the process would end with requests unanswered.
+//! Here a flag records each signal, and a pipe only wakes the task that waits for one: a failed read costs a pause.
 
 use std::io;
 use std::os::unix::net::UnixStream as Pipe;
@@ -14,60 +14,62 @@
 use tokio::net::UnixStream;
 use tokio::time::sleep;
 
-/// The pause behind a read that failed.
-const PAUSE: Duration = Duration::from_millis(5);
+/// Pause after a failed read of the pipe.
+const READ_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A signal that means something here.
+/// A signal that the process handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Signal {
-    /// SIGTERM: leave.
+    /// SIGTERM: the notice to leave.
     Leave,
     /// SIGHUP: read the configuration again.
     Reload,
-    /// SIGUSR1: print the counters.
+    /// SIGUSR1: log the counters.
     Print,
 }
 
-/// All of them, the most pressing first.
+/// All handled signals, in the order in which pending ones are returned.
 const SIGNALS: [(Signal, i32); 3] =
     [(Signal::Leave, SIGTERM), (Signal::Reload, SIGHUP), (Signal::Print, SIGUSR1)];
 
-/// Signals that have come and were not taken yet. Several of one kind are one.
+/// Signals that have arrived and were not handled yet. Several pending signals of one kind count as one.
 pub(crate) struct Signals {
-    came: Vec<(Signal, Arc<AtomicBool>)>,
+    pending: Vec<(Signal, Arc<AtomicBool>)>,
     pipe: UnixStream,
 }
 
 impl Signals {
-    /// Takes them from now on.
+    /// Handles the signals from now on.
     ///
     /// # Errors
-    /// The system's reason.
+    /// The pipe can't be created, or a handler can't be registered.
     pub fn new() -> io::Result<Signals> {
         let (read, write) = Pipe::pair()?;
         read.set_nonblocking(true)?;
         write.set_nonblocking(true)?;
-        let mut came = Vec::new();
+        let mut pending = Vec::new();
         for (signal, number) in SIGNALS {
             let flag = Arc::new(AtomicBool::new(false));
-            // In this order: who is woken finds the flag.
+            // The flag is registered first, so that it is set before the pipe wakes the waiting task.
             flag::register(number, flag.clone())?;
             low_level::pipe::register(number, write.try_clone()?)?;
-            came.push((signal, flag));
+            pending.push((signal, flag));
         }
-        Ok(Signals { came, pipe: UnixStream::from_std(read)? })
+        Ok(Signals { pending, pipe: UnixStream::from_std(read)? })
     }
 
-    /// The next one. Nothing is lost where the future is dropped.
+    /// Waits for the next signal. Cancel safe: no signal is lost if the future is dropped.
     pub async fn next(&self) -> Signal {
         loop {
-            if let Some((signal, _)) = self.came.iter().find(|(_, flag)| flag.swap(false, Ordering::AcqRel)) {
+            if let Some((signal, _)) =
+                self.pending.iter().find(|(_, flag)| flag.swap(false, Ordering::AcqRel))
+            {
                 return *signal;
             }
             match self.pipe.try_read(&mut [0; 64]) {
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => _ = self.pipe.readable().await,
-                Err(_) => sleep(PAUSE).await,
+                Err(_) => sleep(READ_RETRY_INTERVAL).await,
             }
         }
     }
