--- a/crates/holdlift-lab/src/coap.rs
+++ b/crates/holdlift-lab/src/coap.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use holdlift::Micros;
-use holdlift::front::InForce;
+use holdlift::front::CurrentSettings;
 use holdlift::front::coap::message::{empty, option};
 use holdlift::front::coap::{Coap, Output};
 use holdlift::node::{Answer, Input};
@@ -337,7 +337,7 @@
 /// core takes in and answers in a second.
 pub fn cost(peers: u32) -> (f64, f64) {
     let told = settings(2, 3_000, 6_000);
-    let in_force = InForce::new(holdlift::settings::from_json(&told).expect("settings"));
+    let in_force = CurrentSettings::new(holdlift::settings::from_json(&told).expect("settings"));
     let config =
         toml::from_str("listen = \"127.0.0.1:1\"\nquiet_ms = 0\nexchanges = 1048576\n").expect("a file");
     let uwsgi = "listen = \"127.0.0.1:1\"\ninventory = \"x\"\n[vars]\nclass = \"PATH_INFO\"\n";
@@ -357,7 +357,7 @@
             &mut out,
         );
         for o in std::mem::take(&mut out) {
-            if let Output::Tell(Input::RequestReceived(o, _)) = o {
+            if let Output::ToCore(Input::RequestReceived(o, _)) = o {
                 front.answer(now, o.connection, &reply, &mut out);
             }
         }
--- a/src/agent.rs
+++ b/src/agent.rs
@@ -284,7 +284,7 @@
     }
 
     /// Takes a notice; gives it back where it is news for the core.
-    pub fn hear(&mut self, notice: Notice, out: &mut BytesMut) -> Option<Notice> {
+    pub fn handle_notice(&mut self, notice: Notice, out: &mut BytesMut) -> Option<Notice> {
         match &notice {
             Notice::Outcome { n, .. } | Notice::Request { n, .. } | Notice::Aside { n } => {
                 if *n <= self.last {
--- a/src/config/edge.rs
+++ b/src/config/edge.rs
@@ -283,7 +283,7 @@
                 return Err(doc.bad(&at("front"), reason));
             };
             // A half-read request costs no more than a held one.
-            let (most, room) = (u.half_in(), (u.limits.room_kb * 1024.0) as usize);
+            let (most, room) = (u.largest_request_bytes(), (u.limits.room_kb * 1024.0) as usize);
             if matches!(profile.pace, Pace::Progress(_)) && most > room {
                 let reason = format!(
                     "a request may be {most} bytes (limits.vars_bytes + limits.body_bytes of the uwsgi file) and is \
@@ -344,7 +344,7 @@
             profile: l.profile,
             connections_max: l.connections.unwrap_or(1),
             partial_message_max: match (&self.uwsgi, l.wire) {
-                (Some(u), Wire::Uwsgi) => u.half_in(),
+                (Some(u), Wire::Uwsgi) => u.largest_request_bytes(),
                 _ => 2 * FRAME_MAX,
             },
         };
--- a/src/directory.rs
+++ b/src/directory.rs
@@ -70,15 +70,15 @@
 
 /// When reports are made: how long each is waited behind.
 #[derive(Debug)]
-pub struct Pace {
+pub struct ReportSchedule {
     draws: ChaCha8Rng,
     failed: u32,
 }
 
-impl Pace {
+impl ReportSchedule {
     /// Of one node; the seed tells it from others.
-    pub fn new(seed: u64) -> Pace {
-        Pace { draws: ChaCha8Rng::seed_from_u64(seed), failed: 0 }
+    pub fn new(seed: u64) -> ReportSchedule {
+        ReportSchedule { draws: ChaCha8Rng::seed_from_u64(seed), failed: 0 }
     }
 
     /// From a report's start to the next one's, where it went well.
@@ -87,7 +87,7 @@
     }
 
     /// A report has ended, well or not; after one that failed, the pause behind it.
-    pub fn ended(&mut self, good: bool) -> Option<Duration> {
+    pub fn report_ended(&mut self, good: bool) -> Option<Duration> {
         if good {
             self.failed = 0;
             return None;
@@ -109,7 +109,7 @@
     mut mode: watch::Receiver<Mode>,
     seed: u64,
 ) {
-    let mut pace = Pace::new(seed);
+    let mut pace = ReportSchedule::new(seed);
     let mut link: Option<Framed<SteadyStream, ReportCodec>> = None;
     let mut last = None;
     loop {
@@ -128,7 +128,7 @@
         tokio::select! {
             changed = mode.changed() => if changed.is_err() { return } else { continue },
             changed = address.changed() => if changed.is_err() { return } else { continue },
-            good = told => if let Some(pause) = pace.ended(good) {
+            good = told => if let Some(pause) = pace.report_ended(good) {
                 wake = next.min(Instant::now() + pause);
             },
         }
--- a/src/front/coap/mod.rs
+++ b/src/front/coap/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::config::coap::CoapConfig;
 use crate::front::uwsgi::UwsgiConfig;
-use crate::front::{InForce, Wire, uwsgi};
+use crate::front::{CurrentSettings, Wire, uwsgi};
 use crate::interface::{ClassSettings, Effect, IndexedList, Micros};
 use crate::node::{Answer, FailureReason, IncomingRequest, Input, ReferenceScope, ResponseRoute, Worker};
 use blocks::{Blocks, Place, Upload};
@@ -62,7 +62,7 @@
     /// Send a datagram.
     Send(SocketAddr, Vec<u8>),
     /// Tell the core.
-    Tell(Input),
+    ToCore(Input),
 }
 
 /// What has been counted.
@@ -153,7 +153,7 @@
 
 /// The front.
 pub struct Coap {
-    settings: InForce,
+    settings: CurrentSettings,
     config: Rc<CoapConfig>,
     uwsgi: Rc<UwsgiConfig>,
     /// Until then a duplicate of a write may come that the process before this one took in.
@@ -183,7 +183,7 @@
 impl Coap {
     /// A fresh front; `seed` for message ids and waits.
     pub fn new(
-        settings: InForce,
+        settings: CurrentSettings,
         config: Rc<CoapConfig>,
         uwsgi: Rc<UwsgiConfig>,
         seed: u64,
@@ -326,10 +326,10 @@
                 self.peers.entry(from).or_default().open += 1;
                 let origin =
                     ResponseRoute { front: Wire::Coap.front(), connection: number, request_number: 0 };
-                out.push(Output::Tell(Input::RequestReceived(origin, Box::new(ask))));
+                out.push(Output::ToCore(Input::RequestReceived(origin, Box::new(ask))));
             }
             Err((response, why)) => {
-                out.extend(why.map(|why| Output::Tell(Input::RequestRejected(why))));
+                out.extend(why.map(|why| Output::ToCore(Input::RequestRejected(why))));
                 self.respond(now, &open, response, out);
             }
         }
--- a/src/front/driver.rs
+++ b/src/front/driver.rs
@@ -41,7 +41,7 @@
 
 /// What a connection tells the runtime.
 #[derive(Debug)]
-pub enum FromConn {
+pub enum ConnectionEvent {
     /// Something happened on it.
     Input(Input),
     /// It is over.
@@ -57,7 +57,7 @@
 
 /// The door, as all connections' drivers and the runtime share it.
 #[derive(Clone)]
-pub struct Doorman {
+pub struct SharedAdmission {
     door: Rc<RefCell<ConnectionAdmission>>,
     /// Rings when the door wants to be swept sooner than the runtime thinks.
     bell: Rc<Notify>,
@@ -65,10 +65,10 @@
     scratch: Rc<RefCell<Vec<u8>>>,
 }
 
-impl Doorman {
+impl SharedAdmission {
     /// Before this door.
-    pub fn new(door: ConnectionAdmission) -> Doorman {
-        Doorman {
+    pub fn new(door: ConnectionAdmission) -> SharedAdmission {
+        SharedAdmission {
             door: Rc::new(RefCell::new(door)),
             bell: Rc::default(),
             scratch: Rc::new(RefCell::new(vec![0; READ_CHUNK_BYTES])),
@@ -86,12 +86,12 @@
     }
 
     /// How long until the door is to be swept.
-    pub fn wait(&self) -> Micros {
+    pub fn time_until_sweep(&self) -> Micros {
         self.door.borrow_mut().time_until_sweep()
     }
 
     /// Waits until the door wants to be swept sooner than it said.
-    pub async fn rung(&self) {
+    pub async fn earlier_sweep_needed(&self) {
         self.bell.notified().await;
     }
 }
@@ -104,7 +104,7 @@
     stream: Stream,
     input: BytesMut,
     out: Out,
-    doorman: Doorman,
+    doorman: SharedAdmission,
     owed_max: usize,
     /// The socket has been looked at since the last report.
     looked: bool,
@@ -142,14 +142,14 @@
 /// Carries one connection from its first byte to its end.
 ///
 /// Reading stops, and the peer is slowed by TCP, while too much is owed to it; the rest of the node goes on.
-pub async fn serve<S: Session, E: From<FromConn>>(
+pub async fn serve<S: Session, E: From<ConnectionEvent>>(
     (wire, id): (Wire, ConnectionId),
     stream: TcpStream,
     session: S,
     codec: S::Codec,
     events: mpsc::Sender<E>,
     replies: mpsc::Receiver<Reply>,
-    (doorman, linger): (Doorman, Duration),
+    (doorman, linger): (SharedAdmission, Duration),
 ) {
     let _ = stream.set_nodelay(true);
     let mut conn = Conn {
@@ -183,13 +183,13 @@
     let end = conn.carry(&events, replies).await;
     doorman.with(|d| d.connection_closed(process::now(), id, 0));
     // The runtime hears of the end before the last bytes are sent off: whoever waited on it waits no longer.
-    let _ = events.send(FromConn::Closed { wire, conn: id.0, end }.into()).await;
+    let _ = events.send(ConnectionEvent::Closed { wire, conn: id.0, end }.into()).await;
     let undelivered = conn.part(end, linger).await;
     doorman.with(|d| d.counters.undelivered += undelivered);
 }
 
 impl<S: Session> Conn<S> {
-    async fn carry<E: From<FromConn>>(
+    async fn carry<E: From<ConnectionEvent>>(
         &mut self,
         events: &mpsc::Sender<E>,
         mut replies: mpsc::Receiver<Reply>,
@@ -314,7 +314,7 @@
     }
 
     /// Cuts what has come in into messages, for as long as there is room for what they are answered.
-    async fn messages<E: From<FromConn>>(&mut self, events: &mpsc::Sender<E>) -> Option<End> {
+    async fn messages<E: From<ConnectionEvent>>(&mut self, events: &mpsc::Sender<E>) -> Option<End> {
         loop {
             if self.deaf || self.over().is_some() || self.out.len() >= self.owed_max {
                 return None;
@@ -336,7 +336,7 @@
                     self.whole += usize::from(!self.session.midway());
                     if let Some(input) = input {
                         self.asked += usize::from(!matches!(input, Input::RequestRejected(_)));
-                        if events.send(FromConn::Input(input).into()).await.is_err() {
+                        if events.send(ConnectionEvent::Input(input).into()).await.is_err() {
                             return Some(End::Finished);
                         }
                     }
@@ -439,8 +439,8 @@
                 }
                 false
             }
-            Reply::Door(ConnectionCommand::ReadNow) => true,
-            Reply::Door(ConnectionCommand::Close(end)) => {
+            Reply::Admission(ConnectionCommand::ReadNow) => true,
+            Reply::Admission(ConnectionCommand::Close(end)) => {
                 self.close(end);
                 false
             }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -52,7 +52,7 @@
     /// Close if nothing is open and nothing has been said for this long.
     CloseIdle(Micros),
     /// What the door wants.
-    Door(ConnectionCommand),
+    Admission(ConnectionCommand),
     /// Send what is owed, then close.
     Finish,
 }
@@ -117,12 +117,12 @@
 
 /// The settings in force, as all connections' sessions see them: a reload shows from the next message on.
 #[derive(Clone, Debug)]
-pub struct InForce(Rc<RefCell<Rc<Settings>>>);
+pub struct CurrentSettings(Rc<RefCell<Rc<Settings>>>);
 
-impl InForce {
+impl CurrentSettings {
     /// These.
-    pub fn new(settings: Settings) -> InForce {
-        InForce(Rc::new(RefCell::new(Rc::new(settings))))
+    pub fn new(settings: Settings) -> CurrentSettings {
+        CurrentSettings(Rc::new(RefCell::new(Rc::new(settings))))
     }
 
     /// Those of now.
--- a/src/front/msgpack/mod.rs
+++ b/src/front/msgpack/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::end::End;
 use crate::front::Wire;
-use crate::front::{InForce, Out, Reply, Session};
+use crate::front::{CurrentSettings, Out, Reply, Session};
 use crate::interface::{ClassSettings, Effect, Micros};
 use crate::node::{Answer, FailureReason, IncomingRequest, Input, ReferenceScope, ResponseRoute, Worker};
 use crate::time::{Arrivals, WallTime};
@@ -77,7 +77,7 @@
 /// One caller's connection.
 pub struct Caller {
     conn: u64,
-    settings: InForce,
+    settings: CurrentSettings,
     arrivals: Arrivals,
     open: HashSet<u32>,
     last_called: bool,
@@ -89,7 +89,7 @@
 
 impl Caller {
     /// A fresh connection.
-    pub fn new(conn: u64, settings: InForce, arrivals: Arrivals) -> Caller {
+    pub fn new(conn: u64, settings: CurrentSettings, arrivals: Arrivals) -> Caller {
         let open = HashSet::new();
         Caller { conn, settings, arrivals, open, last_called: false, spoken: false, unfit: 0 }
     }
@@ -297,7 +297,7 @@
                     });
                 }
             }
-            Reply::CloseIdle(_) | Reply::Door(_) | Reply::Finish => return self.open.is_empty(),
+            Reply::CloseIdle(_) | Reply::Admission(_) | Reply::Finish => return self.open.is_empty(),
         }
         false
     }
--- a/src/front/uwsgi/mod.rs
+++ b/src/front/uwsgi/mod.rs
@@ -14,7 +14,7 @@
 use crate::config::doc::{Doc, few};
 use crate::config::{ConfigError, knobs};
 use crate::end::End;
-use crate::front::{InForce, Out, Reply, Session, Wire};
+use crate::front::{CurrentSettings, Out, Reply, Session, Wire};
 use crate::interface::{ClassId, Effect, Micros, Settings};
 use crate::inventory::{self, Host};
 use crate::node::{Answer, FailureReason, IncomingRequest, Input, ReferenceScope, ResponseRoute, Worker};
@@ -159,7 +159,7 @@
 
 impl UwsgiConfig {
     /// Bytes of the largest request.
-    pub fn half_in(&self) -> usize {
+    pub fn largest_request_bytes(&self) -> usize {
         packet::HEADER + self.limits.vars_bytes + self.limits.body_bytes
     }
 }
@@ -167,7 +167,7 @@
 /// One gateway's connection.
 pub struct Gateway {
     conn: u64,
-    settings: InForce,
+    settings: CurrentSettings,
     config: Rc<UwsgiConfig>,
     head: Option<(Bytes, Vars)>,
     state: State,
@@ -182,7 +182,7 @@
 
 impl Gateway {
     /// A fresh connection.
-    pub fn new(conn: u64, settings: InForce, config: Rc<UwsgiConfig>) -> Gateway {
+    pub fn new(conn: u64, settings: CurrentSettings, config: Rc<UwsgiConfig>) -> Gateway {
         Gateway { conn, settings, config, head: None, state: State::Reading }
     }
 
--- a/src/runtime/coap.rs
+++ b/src/runtime/coap.rs
@@ -164,11 +164,11 @@
                         driver.send(to, bytes);
                     }
                 }
-                Output::Tell(Input::RequestReceived(origin, ask)) => {
+                Output::ToCore(Input::RequestReceived(origin, ask)) => {
                     let ask = self.planned(ask);
                     self.node.handle_input(now, Input::RequestReceived(origin, ask), &mut self.outputs);
                 }
-                Output::Tell(input) => self.node.handle_input(now, input, &mut self.outputs),
+                Output::ToCore(input) => self.node.handle_input(now, input, &mut self.outputs),
             }
         }
         if let Some(driver) = &mut self.coap {
--- a/src/runtime/connections.rs
+++ b/src/runtime/connections.rs
@@ -11,7 +11,7 @@
 use crate::end::End;
 use crate::front::Reply;
 use crate::front::Wire;
-use crate::front::driver::{self, FromConn};
+use crate::front::driver::{self, ConnectionEvent};
 use crate::front::msgpack::{Caller, ValueCodec};
 use crate::front::uwsgi::Gateway;
 use crate::interface::Micros;
@@ -100,8 +100,10 @@
     }
 
     fn whisper(&mut self, id: ConnectionId, verdict: ConnectionCommand) {
-        let full =
-            self.connections.get(&id.0).is_some_and(|c| c.replies.try_send(Reply::Door(verdict)).is_err());
+        let full = self
+            .connections
+            .get(&id.0)
+            .is_some_and(|c| c.replies.try_send(Reply::Admission(verdict)).is_err());
         if full && verdict != ConnectionCommand::ReadNow {
             // It does not read its answers: dropping the sender ends it.
             self.connections.remove(&id.0);
@@ -116,9 +118,9 @@
         ask
     }
 
-    pub(super) fn conn_said(&mut self, now: Micros, said: FromConn) {
+    pub(super) fn conn_said(&mut self, now: Micros, said: ConnectionEvent) {
         match said {
-            FromConn::Input(mut input) => {
+            ConnectionEvent::Input(mut input) => {
                 if let Input::RequestReceived(origin, ask) = input {
                     input = Input::RequestReceived(origin, self.planned(ask));
                 }
@@ -129,7 +131,7 @@
                     self.tell(o.connection, Reply::LastCall);
                 }
             }
-            FromConn::Closed { wire, conn, end } => {
+            ConnectionEvent::Closed { wire, conn, end } => {
                 debug!(conn, ?wire, "{end}");
                 self.connections.remove(&conn);
                 self.node.open_connections = self.connections.len();
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -44,9 +44,9 @@
 use crate::fleet::lease::holder::ReleaseEvidence;
 use crate::front::Wire;
 use crate::front::coap::Coap;
-use crate::front::driver::{Doorman, FromConn};
+use crate::front::driver::{ConnectionEvent, SharedAdmission};
 use crate::front::uwsgi::UwsgiConfig;
-use crate::front::{InForce, Reply};
+use crate::front::{CurrentSettings, Reply};
 use crate::interface::{Micros, Outcome, Settings};
 use crate::log::LogRateLimiter;
 use crate::node::{Input, Node, NodeOptions, Output, Worker};
@@ -63,7 +63,7 @@
 
 /// What reaches the event loop.
 enum Event {
-    Connection(FromConn),
+    Connection(ConnectionEvent),
     Accepted(door::Newcomer),
     ListenerFull(ListenerId),
     AgentLinked(u64, mpsc::Sender<Bytes>),
@@ -80,8 +80,8 @@
     OpenCoap,
 }
 
-impl From<FromConn> for Event {
-    fn from(e: FromConn) -> Event {
+impl From<ConnectionEvent> for Event {
+    fn from(e: ConnectionEvent) -> Event {
         Event::Connection(e)
     }
 }
@@ -94,14 +94,14 @@
 
 struct Runtime {
     node: Node,
-    settings: InForce,
+    settings: CurrentSettings,
     gauge_names: Vec<String>,
     agent: Agent,
     /// The link in use and its number.
     link: Option<(u64, mpsc::Sender<Bytes>)>,
     connections: HashMap<u64, connections::Conn>,
     gates: Vec<Gate>,
-    doorman: Doorman,
+    doorman: SharedAdmission,
     /// For log lines that a peer can cause.
     log_limiter: LogRateLimiter,
     calls: DependencyCalls,
@@ -213,13 +213,13 @@
         let idle_connections = config.limits.sockets / 16;
         Runtime {
             node: Node::new(settings.clone(), options),
-            settings: InForce::new(settings),
+            settings: CurrentSettings::new(settings),
             gauge_names: config.gauge_names(),
             agent: Agent::default(),
             link: None,
             connections: HashMap::new(),
             gates: Vec::new(),
-            doorman: Doorman::new(ConnectionAdmission::new(edge.door(&config))),
+            doorman: SharedAdmission::new(ConnectionAdmission::new(edge.door(&config))),
             log_limiter: LogRateLimiter::default(),
             calls: DependencyCalls::new(process::now(), tiers, idle_connections, config.lot()),
             coap: None,
@@ -318,7 +318,7 @@
                 biased;
                 signal = signals.next() => self.signalled(signal),
                 event = events.recv() => self.take_ready(event, events)?,
-                () = doorman.rung() => {}
+                () = doorman.earlier_sweep_needed() => {}
                 () = service.rung() => self.list(),
                 () = sleep_until(wake) => {}
             }
@@ -380,7 +380,7 @@
         let at =
             [self.node.next_deadline(), self.calls.next_timeout(), coap, stop].into_iter().flatten().min();
         let fleet = self.fleet.as_ref().map_or(u64::MAX, |f| f.time_to_next_timer().0);
-        let wait = at.map_or(1_000_000, |at| (at - now).0).min(self.doorman.wait().0).min(fleet);
+        let wait = at.map_or(1_000_000, |at| (at - now).0).min(self.doorman.time_until_sweep().0).min(fleet);
         Instant::now() + Duration::from_micros(wait)
     }
 
@@ -520,7 +520,7 @@
 
     fn said(&mut self, now: Micros, notice: Notice) -> Result<(), Box<dyn std::error::Error>> {
         let mut out = BytesMut::new();
-        let news = self.agent.hear(notice, &mut out);
+        let news = self.agent.handle_notice(notice, &mut out);
         self.say(out);
         let input = match news {
             None => return Ok(()),
--- a/tests/coap/script.rs
+++ b/tests/coap/script.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use coap_lite::{MessageClass, MessageType, Packet, RequestType};
 use holdlift::Micros;
-use holdlift::front::InForce;
+use holdlift::front::CurrentSettings;
 use holdlift::front::coap::message::{Block, option};
 use holdlift::front::coap::{Coap, Output};
 use holdlift::node::{Answer, FailureReason, Input};
@@ -39,7 +39,7 @@
             "listen = \"127.0.0.1:5683\"\n{quiet}{more}\n[classes]\n\"/jobs\" = \"book-job\"\n[query]\nrank = \"rank\"\n"
         );
         let config = toml::from_str(&text).expect("a file");
-        let settings = InForce::new(from_json(&settings(2, 3_000, 6_000)).expect("settings"));
+        let settings = CurrentSettings::new(from_json(&settings(2, 3_000, 6_000)).expect("settings"));
         let uwsgi = toml::from_str(UWSGI).expect("a file");
         let now = ms(1_000_000_000);
         let coap = Coap::new(settings, Rc::new(config), Rc::new(uwsgi), 7, now);
@@ -51,11 +51,11 @@
         for o in out {
             match o {
                 Output::Send(to, bytes) => sent.push((to, bytes)),
-                Output::Tell(Input::RequestReceived(o, ask)) => {
+                Output::ToCore(Input::RequestReceived(o, ask)) => {
                     self.asked.push((o.connection, String::from_utf8_lossy(&ask.body).into_owned()));
                 }
-                Output::Tell(Input::RequestRejected(why)) => self.unfit.push(why),
-                Output::Tell(other) => panic!("{other:?}"),
+                Output::ToCore(Input::RequestRejected(why)) => self.unfit.push(why),
+                Output::ToCore(other) => panic!("{other:?}"),
             }
         }
         sent
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -13,9 +13,9 @@
     ListenerSettings, profile::Profile,
 };
 use holdlift::end::End;
-use holdlift::front::driver::{self, Doorman, FromConn};
+use holdlift::front::driver::{self, ConnectionEvent, SharedAdmission};
 use holdlift::front::msgpack::{Caller, ValueCodec, pack};
-use holdlift::front::{InForce, Reply, Wire};
+use holdlift::front::{CurrentSettings, Reply, Wire};
 use holdlift::node::{Answer, Input, ResponseRoute};
 use holdlift::time::process;
 use holdlift_lab::{fields, settings, within};
@@ -27,7 +27,7 @@
 struct PendingConnection {
     caller: TcpStream,
     stream: TcpStream,
-    doorman: Doorman,
+    doorman: SharedAdmission,
     id: ConnectionId,
     replies: mpsc::Sender<Reply>,
     inbox: mpsc::Receiver<Reply>,
@@ -70,7 +70,7 @@
             panic!("the first connection must be admitted");
         };
         let (replies, inbox) = mpsc::channel(96);
-        PendingConnection { caller, stream, doorman: Doorman::new(door), id, replies, inbox }
+        PendingConnection { caller, stream, doorman: SharedAdmission::new(door), id, replies, inbox }
     }
 
     /// Writes as the caller, and waits until the node's socket holds `expected_len` unread bytes.
@@ -110,8 +110,8 @@
             .run_until(async {
                 let settings = holdlift::settings::from_json(&settings(2, 3_000, 6_000))
                     .expect("the settings are valid");
-                let session = Caller::new(id.0, InForce::new(settings), process::arrivals());
-                let (events, mut reported) = mpsc::channel::<FromConn>(64);
+                let session = Caller::new(id.0, CurrentSettings::new(settings), process::arrivals());
+                let (events, mut reported) = mpsc::channel::<ConnectionEvent>(64);
                 let stream = tokio::net::TcpStream::from_std(stream)
                     .expect("the stream can be registered with the runtime");
                 let with = (doorman, Duration::from_millis(50));
@@ -124,7 +124,10 @@
                         .await
                         .expect("the driver reports the close before it ends")
                     {
-                        FromConn::Input(Input::RequestReceived(ResponseRoute { request_number, .. }, _)) => {
+                        ConnectionEvent::Input(Input::RequestReceived(
+                            ResponseRoute { request_number, .. },
+                            _,
+                        )) => {
                             requested.push(request_number);
                             // Sent before the answer, so that a request is open when the driver handles it.
                             if requested.len() == expected
@@ -143,8 +146,8 @@
                                 .await
                                 .expect("the driver is running");
                         }
-                        FromConn::Input(_) => {}
-                        FromConn::Closed { end, .. } => break (requested, end),
+                        ConnectionEvent::Input(_) => {}
+                        ConnectionEvent::Closed { end, .. } => break (requested, end),
                     }
                 }
             })
@@ -173,9 +176,9 @@
     let closes = [
         ("leaving", Reply::Finish),
         ("idle", Reply::CloseIdle(Micros(0))),
-        ("without any request", Reply::Door(ConnectionCommand::Close(End::Silent))),
-        ("too slow", Reply::Door(ConnectionCommand::Close(End::Slow))),
-        ("crowded out", Reply::Door(ConnectionCommand::Close(End::Crowded))),
+        ("without any request", Reply::Admission(ConnectionCommand::Close(End::Silent))),
+        ("too slow", Reply::Admission(ConnectionCommand::Close(End::Slow))),
+        ("crowded out", Reply::Admission(ConnectionCommand::Close(End::Crowded))),
     ];
     for (reason, close) in closes {
         let mut connection = PendingConnection::new();
@@ -212,8 +215,8 @@
 async fn an_incomplete_message_is_dropped_by_a_close_and_is_not_a_request() {
     let closes = [
         (Reply::Finish, End::Finished),
-        (Reply::Door(ConnectionCommand::Close(End::Crowded)), End::Crowded),
-        (Reply::Door(ConnectionCommand::Close(End::Slow)), End::Slow),
+        (Reply::Admission(ConnectionCommand::Close(End::Crowded)), End::Crowded),
+        (Reply::Admission(ConnectionCommand::Close(End::Slow)), End::Slow),
     ];
     for (close, end) in closes {
         let mut connection = PendingConnection::new();
@@ -228,7 +231,7 @@
 /// A connection with the first byte of a request is not idle: it stays open for the rest of the request.
 #[tokio::test]
 async fn the_first_byte_of_a_request_keeps_a_connection_from_closing_as_idle() {
-    for close in [Reply::CloseIdle(Micros(0)), Reply::Door(ConnectionCommand::Close(End::Silent))] {
+    for close in [Reply::CloseIdle(Micros(0)), Reply::Admission(ConnectionCommand::Close(End::Silent))] {
         let mut connection = PendingConnection::new();
         let bytes = request_bytes(1);
         connection.write(&bytes[..1], 1);
@@ -276,6 +279,6 @@
     let mut connection = PendingConnection::new();
     let stream = [request_bytes(1), request_bytes(2)[..9].to_vec()].concat();
     connection.write(&stream, stream.len());
-    let record = connection.run(1, Some(Reply::Door(ConnectionCommand::Close(End::Slow)))).await;
+    let record = connection.run(1, Some(Reply::Admission(ConnectionCommand::Close(End::Slow)))).await;
     assert_eq!((record.requested, record.answered, record.end), (vec![1], vec![1], End::Slow));
 }
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use holdlift::directory::{Mode, Pace, report};
+use holdlift::directory::{Mode, ReportSchedule, report};
 use net::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -98,9 +98,9 @@
 #[test]
 fn reports_are_spread() {
     let ms = Duration::from_millis;
-    let mut nodes: Vec<Pace> = (0..300).map(Pace::new).collect();
+    let mut nodes: Vec<ReportSchedule> = (0..300).map(ReportSchedule::new).collect();
     for failed in 0..12 {
-        let pauses: Vec<Duration> = nodes.iter_mut().filter_map(|n| n.ended(false)).collect();
+        let pauses: Vec<Duration> = nodes.iter_mut().filter_map(|n| n.report_ended(false)).collect();
         let slots: BTreeSet<u128> = pauses.iter().map(|p| p.as_millis() / 10).collect();
         let (least, most) = [(50, 150), (100, 300), (200, 600)][failed.min(2)];
         assert!(pauses.iter().all(|p| (ms(least)..=ms(most)).contains(p)), "{failed}");
@@ -111,9 +111,9 @@
         );
     }
     for n in &mut nodes {
-        assert_eq!(n.ended(true), None);
+        assert_eq!(n.report_ended(true), None);
         assert!((ms(800)..=ms(1_000)).contains(&n.interval()));
         // After a good one the pauses are short again.
-        assert!(n.ended(false).expect("a pause") <= ms(150));
+        assert!(n.report_ended(false).expect("a pause") <= ms(150));
     }
 }
--- a/tests/parties.rs
+++ b/tests/parties.rs
@@ -37,31 +37,31 @@
     a.command("early", launch(), &mut out);
     assert_eq!(said(&mut out), "", "nothing is said without a link");
     a.linked(&mut out);
-    a.hear(greeting.clone(), &mut out);
+    a.handle_notice(greeting.clone(), &mut out);
     assert_eq!(said(&mut out), "subscribe 0|sample barrier-1|");
-    a.hear(sampled("barrier-1"), &mut out);
+    a.handle_notice(sampled("barrier-1"), &mut out);
     assert_eq!(said(&mut out), "launch early quote 2|hi|");
     // Proven: by a later answer, by an outcome, by a call that the run asks for.
     assert!(a.ask("sample", "s1", &mut out));
-    a.hear(sampled("s1"), &mut out);
+    a.handle_notice(sampled("s1"), &mut out);
     for name in ["ended", "called", "lost", "missed"] {
         a.command(name, launch(), &mut out);
     }
-    a.hear(outcome(1, "ended"), &mut out);
-    a.hear(Notice::Request { n: 2, name: "called".to_owned(), body: Bytes::new() }, &mut out);
+    a.handle_notice(outcome(1, "ended"), &mut out);
+    a.handle_notice(Notice::Request { n: 2, name: "called".to_owned(), body: Bytes::new() }, &mut out);
     a.command("called", agent::Command::Deliver(Bytes::from_static(b"re")), &mut out);
     a.command("lost", agent::Command::Freeze, &mut out);
     said(&mut out);
     a.lost();
     assert!(!a.ask("sample", "s2", &mut out));
     a.linked(&mut out);
-    a.hear(greeting, &mut out);
+    a.handle_notice(greeting, &mut out);
     assert_eq!(said(&mut out), "subscribe 2|sample barrier-2|");
     // A notice heard before is no news; one missed keeps its launch from being repeated.
-    assert_eq!(a.hear(outcome(1, "ended"), &mut out), None);
-    assert!(a.hear(outcome(3, "missed"), &mut out).is_some());
-    assert_eq!(a.hear(Notice::Aside { n: 4 }, &mut out), None);
-    a.hear(sampled("barrier-2"), &mut out);
+    assert_eq!(a.handle_notice(outcome(1, "ended"), &mut out), None);
+    assert!(a.handle_notice(outcome(3, "missed"), &mut out).is_some());
+    assert_eq!(a.handle_notice(Notice::Aside { n: 4 }, &mut out), None);
+    a.handle_notice(sampled("barrier-2"), &mut out);
     assert_eq!(said(&mut out), "launch lost quote 2|hi|deliver called 2|re|freeze lost|");
 }
 
@@ -74,12 +74,12 @@
 fn unanswered_questions_do_not_pile_up() {
     let (mut a, mut out) = (Agent::default(), BytesMut::new());
     a.linked(&mut out);
-    a.hear(Notice::Greeting { cold: false, ms: 0.0 }, &mut out);
-    a.hear(sampled("barrier-1"), &mut out);
+    a.handle_notice(Notice::Greeting { cold: false, ms: 0.0 }, &mut out);
+    a.handle_notice(sampled("barrier-1"), &mut out);
     a.command("early", launch(), &mut out);
     (0..10_000).for_each(|n| assert!(a.ask("sample", &format!("s{n}"), &mut out)));
     assert_eq!(a.unproven(), 65);
-    a.hear(sampled("s0"), &mut out);
+    a.handle_notice(sampled("s0"), &mut out);
     assert_eq!(a.unproven(), 63, "what was said before the first question has arrived");
 }
 
--- a/tests/uwsgi.rs
+++ b/tests/uwsgi.rs
@@ -300,11 +300,12 @@
         AdmissionDecision, AdmissionSettings, ConnectionAdmission, ListenerId, ListenerSettings,
     };
     use holdlift::front::Wire;
-    use holdlift::front::driver::{Doorman, FromConn, serve};
+    use holdlift::front::driver::{ConnectionEvent, SharedAdmission, serve};
     use holdlift::front::{Reply, uwsgi::Gateway};
     use holdlift::node::Input;
-    let settings =
-        holdlift::front::InForce::new(holdlift::settings::from_json(&settings(1, 1_000, 2_000)).unwrap());
+    let settings = holdlift::front::CurrentSettings::new(
+        holdlift::settings::from_json(&settings(1, 1_000, 2_000)).unwrap(),
+    );
     let file = "listen = \"127.0.0.1:1\"\ninventory = \"x\"\nvars = { class = \"CLASS\" }\n";
     let config: std::rc::Rc<holdlift::front::uwsgi::UwsgiConfig> =
         std::rc::Rc::new(toml::from_str(file).unwrap());
@@ -313,7 +314,7 @@
         let (listener, address) = bind().await;
         let mut client = TcpStream::connect(address).await.unwrap();
         let (stream, _) = listener.accept().await.unwrap();
-        let (events, mut heard) = tokio::sync::mpsc::channel::<FromConn>(8);
+        let (events, mut heard) = tokio::sync::mpsc::channel::<ConnectionEvent>(8);
         let (replies, inbox) = tokio::sync::mpsc::channel(8);
         let session = Gateway::new(1, settings.clone(), config.clone());
         let codec = Gateway::codec(&config);
@@ -331,7 +332,7 @@
         else {
             panic!("no room")
         };
-        let with = (Doorman::new(door), Duration::from_millis(150));
+        let with = (SharedAdmission::new(door), Duration::from_millis(150));
         let talk = async {
             client.write_all(&whole[..sent]).await.unwrap();
             sleep(Duration::from_millis(30)).await;
@@ -340,7 +341,7 @@
             let _ = client.write_all(&whole[sent..]).await;
             let first = heard.recv().await;
             assert_eq!(
-                matches!(first, Some(FromConn::Input(Input::RequestReceived(..)))),
+                matches!(first, Some(ConnectionEvent::Input(Input::RequestReceived(..)))),
                 asked,
                 "{sent}: {first:?}"
             );
