--- a/src/front/coap/mod.rs
+++ b/src/front/coap/mod.rs
@@ -389,14 +389,14 @@
         &mut self,
         now: Micros,
         transfer: &TransferKey,
-        asked: Option<Block>,
+        requested: Option<Block>,
         body: Bytes,
         code: ResponseType,
         room: usize,
     ) -> (Response, Option<FailureReason>) {
-        let szx = szx_for(asked.map_or(SZX_MAX, |b| b.szx), room);
+        let szx = szx_for(requested.map_or(SZX_MAX, |b| b.szx), room);
         let first = Block { num: 0, more: false, szx };
-        if body.len() <= first.size() && asked.is_none_or(|b| body.len() <= b.size()) {
+        if body.len() <= first.size() && requested.is_none_or(|b| body.len() <= b.size()) {
             return (Response { payload: body.to_vec(), ..Response::plain(code) }, None);
         }
         let etag = self.blocks.store_result(now, transfer, body.clone());
--- a/src/front/coap/reply.rs
+++ b/src/front/coap/reply.rs
@@ -10,11 +10,11 @@
 /// path.
 pub(super) const SZX_MAX: u8 = 5;
 
-/// The size exponent of the largest block, up to `asked`, that fits into `room` bytes with header, token and options.
-pub(super) fn szx_for(asked: u8, room: usize) -> u8 {
+/// The size exponent of the largest block, up to `requested`, that fits into `room` bytes with header, token and options.
+pub(super) fn szx_for(requested: u8, room: usize) -> u8 {
     const OVERHEAD_BYTES: usize = RESPONSE_MIN_BYTES - 16;
     let fits = |szx: &u8| (1usize << (szx + 4)) + OVERHEAD_BYTES <= room;
-    (0..=asked.min(SZX_MAX)).rev().find(fits).unwrap_or(0)
+    (0..=requested.min(SZX_MAX)).rev().find(fits).unwrap_or(0)
 }
 
 /// The response code for success of a method.
@@ -23,10 +23,16 @@
 }
 
 /// One block of a result; 4.02 where the block begins past the end of the result.
-pub(super) fn result_block(body: &Bytes, etag: u32, asked: Block, szx: u8, code: ResponseType) -> Response {
-    let block = Block { szx: asked.szx.min(szx), ..asked };
+pub(super) fn result_block(
+    body: &Bytes,
+    etag: u32,
+    requested: Block,
+    szx: u8,
+    code: ResponseType,
+) -> Response {
+    let block = Block { szx: requested.szx.min(szx), ..requested };
     // Where the block sent is smaller than the one requested, its number is scaled so that the offset stays the same.
-    let block = Block { num: (asked.offset() / block.size()) as u32, ..block };
+    let block = Block { num: (requested.offset() / block.size()) as u32, ..block };
     let at = block.offset();
     if at >= body.len() {
         return Response::plain(ResponseType::BadOption);
--- a/src/front/driver.rs
+++ b/src/front/driver.rs
@@ -36,7 +36,7 @@
 /// leave would otherwise keep the connection open for ever.
 const FINAL_READS_MAX: u32 = 16;
 /// The pause after a socket call that failed transiently, and how many such failures in a row a connection survives:
-/// together one second.
+/// the pauses together last one second.
 const FAILURE_PAUSE: Duration = Duration::from_millis(5);
 const FAILURES_MAX: u32 = 200;
 
@@ -275,16 +275,16 @@
     /// has sent a request meanwhile stays open. One that was silent or idle stays open from its first byte on; one that
     /// was too slow or was closed for room, only for a complete message. Requests read before are answered first.
     fn confirms_close(&mut self, end: End) -> bool {
-        let begun = self.session.request_partially_read() || !self.input.is_empty();
+        let message_begun = self.session.request_partially_read() || !self.input.is_empty();
         match end {
             End::Stalled => true,
-            End::Slow if self.completed_parts > 0 && !begun => false,
+            End::Slow if self.completed_parts > 0 && !message_begun => false,
             End::Slow if !self.is_settled() => {
                 self.stop_reading(end);
                 false
             }
             End::Slow => true,
-            End::Silent | End::Idle => !begun && self.is_settled() && self.completed_parts == 0,
+            End::Silent | End::Idle => !message_begun && self.is_settled() && self.completed_parts == 0,
             _ => self.is_settled() && self.submitted_requests == 0,
         }
     }
@@ -434,8 +434,9 @@
         match reply {
             Reply::CloseIdle(span) => {
                 // A connection with a partial request is not idle, however slowly the request arrives.
-                let midway = self.session.request_partially_read() || !self.input.is_empty();
-                let idle = !midway && self.last_traffic.elapsed().as_micros() >= u128::from(span.0);
+                let has_partial_request = self.session.request_partially_read() || !self.input.is_empty();
+                let idle =
+                    !has_partial_request && self.last_traffic.elapsed().as_micros() >= u128::from(span.0);
                 if idle && self.is_settled() {
                     self.request_close(End::Idle);
                 }
--- a/src/front/msgpack/mod.rs
+++ b/src/front/msgpack/mod.rs
@@ -50,10 +50,10 @@
         let mut reader = Reader::new(&bytes);
         let read = reader.read();
         let used = reader.used();
-        let rest = if read.is_ok() { used } else { 0 };
+        let rest_start = if read.is_ok() { used } else { 0 };
         let len = bytes.len();
         // The value holds slices of the bytes read, so only the remaining bytes go back into the buffer.
-        src.extend_from_slice(&bytes[rest..]);
+        src.extend_from_slice(&bytes[rest_start..]);
         self.incomplete_bytes = 0;
         match read {
             Ok(v) => Ok(Some(v)),
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -93,18 +93,23 @@
     address: Rc<Cell<Option<SocketAddr>>>,
     idle: Rc<RefCell<Vec<(Instant, Connection)>>>,
     most: usize,
-    rest: Duration,
+    reuse_delay: Duration,
 }
 
 impl Pool {
     /// An empty pool that keeps at most `most` idle connections. Without an address every call fails as unreachable.
     pub fn new(address: impl Into<Option<SocketAddr>>, most: usize) -> Pool {
-        Pool { address: Rc::new(Cell::new(address.into())), idle: Rc::default(), most, rest: REUSE_DELAY }
+        Pool {
+            address: Rc::new(Cell::new(address.into())),
+            idle: Rc::default(),
+            most,
+            reuse_delay: REUSE_DELAY,
+        }
     }
 
     /// The same pool with another least time between two calls on one connection.
-    pub fn resting(self, rest: Duration) -> Pool {
-        Pool { rest, ..self }
+    pub fn resting(self, reuse_delay: Duration) -> Pool {
+        Pool { reuse_delay, ..self }
     }
 
     /// Changes the address. Calls in flight finish at the old address; new calls go to the new one.
@@ -128,8 +133,8 @@
         self.sweep();
         loop {
             let mut idle = self.idle.borrow_mut();
-            let rested = idle.iter().rposition(|(since, _)| since.elapsed() >= self.rest)?;
-            let (_, link) = idle.remove(rested);
+            let reusable = idle.iter().rposition(|(since, _)| since.elapsed() >= self.reuse_delay)?;
+            let (_, link) = idle.remove(reusable);
             // A connection that has ended, or on which unrequested bytes have arrived, can't be reused. The check peeks at
             // the socket itself, as tokio's readiness is only as recent as its last poll.
             let peeked = SockRef::from(&**link.get_ref()).peek(&mut [MaybeUninit::uninit()]);
--- a/tests/coap/script.rs
+++ b/tests/coap/script.rs
@@ -1,4 +1,4 @@
-//! A front on a clock of its own, and datagrams in short.
+//! A CoAP front with a simulated clock, and a short text form of datagrams.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,70 +24,71 @@
     Micros::from_millis(n)
 }
 
-/// A front, its time, and what it has asked of the core.
-pub struct Front {
+/// A front, its clock, and the requests it has submitted to the core and rejected.
+pub struct TestFront {
     pub coap: Coap,
     pub now: Micros,
-    pub asked: Vec<(u64, String)>,
-    pub unfit: Vec<FailureReason>,
+    pub submitted: Vec<(u64, String)>,
+    pub rejected: Vec<FailureReason>,
 }
 
-impl Front {
-    pub fn new(more: &str) -> Front {
+impl TestFront {
+    pub fn new(more: &str) -> TestFront {
         let quiet = if more.contains("quiet_ms") { "" } else { "quiet_ms = 0\n" };
         let text = format!(
             "listen = \"127.0.0.1:5683\"\n{quiet}{more}\n[classes]\n\"/jobs\" = \"book-job\"\n[query]\nrank = \"rank\"\n"
         );
-        let config = toml::from_str(&text).expect("a file");
-        let settings = CurrentSettings::new(from_json(&settings(2, 3_000, 6_000)).expect("settings"));
-        let uwsgi = toml::from_str(UWSGI).expect("a file");
+        let config = toml::from_str(&text).expect("the configuration text is valid");
+        let settings =
+            CurrentSettings::new(from_json(&settings(2, 3_000, 6_000)).expect("the test settings are valid"));
+        let uwsgi = toml::from_str(UWSGI).expect("the configuration text is valid");
         let now = ms(1_000_000_000);
         let coap = Coap::new(settings, Rc::new(config), Rc::new(uwsgi), 7, now);
-        Front { coap, now, asked: Vec::new(), unfit: Vec::new() }
+        TestFront { coap, now, submitted: Vec::new(), rejected: Vec::new() }
     }
 
-    pub fn sort(&mut self, out: Vec<Output>) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn record(&mut self, out: Vec<Output>) -> Vec<(SocketAddr, Vec<u8>)> {
         let mut sent = Vec::new();
         for o in out {
             match o {
                 Output::Send(to, bytes) => sent.push((to, bytes)),
-                Output::ToCore(Input::RequestReceived(o, ask)) => {
-                    self.asked.push((o.connection, String::from_utf8_lossy(&ask.body).into_owned()));
+                Output::ToCore(Input::RequestReceived(o, request)) => {
+                    self.submitted.push((o.connection, String::from_utf8_lossy(&request.body).into_owned()));
                 }
-                Output::ToCore(Input::RequestRejected(why)) => self.unfit.push(why),
+                Output::ToCore(Input::RequestRejected(why)) => self.rejected.push(why),
                 Output::ToCore(other) => panic!("{other:?}"),
             }
         }
         sent
     }
 
-    pub fn get(&mut self, from: SocketAddr, bytes: &[u8]) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn receive(&mut self, from: SocketAddr, bytes: &[u8]) -> Vec<(SocketAddr, Vec<u8>)> {
         let mut out = Vec::new();
         self.coap.receive(self.now, from, bytes, &mut out);
-        self.sort(out)
+        self.record(out)
     }
 
-    /// What one peer is sent for a datagram, in short.
-    pub fn say(&mut self, p: &Packet) -> Vec<String> {
-        self.get(peer(1), &bytes(p)).iter().map(|(_, b)| short(b)).collect()
+    /// Delivers a message of the first peer; returns the datagrams sent in response, as text.
+    pub fn exchange(&mut self, p: &Packet) -> Vec<String> {
+        self.receive(peer(1), &bytes(p)).iter().map(|(_, b)| summary(b)).collect()
     }
 
     pub fn answer(&mut self, number: u64, a: &Answer) -> Vec<String> {
         let mut out = Vec::new();
         self.coap.answer(self.now, number, a, &mut out);
-        self.sort(out).iter().map(|(_, b)| short(b)).collect()
+        self.record(out).iter().map(|(_, b)| summary(b)).collect()
     }
 
-    /// Time passes; what is sent on its own, with the time, ms.
-    pub fn wait(&mut self, span: Micros) -> Vec<(u64, String)> {
+    /// Advances the clock; returns the datagrams sent by timers, with their time since the call, ms.
+    pub fn advance(&mut self, span: Micros) -> Vec<(u64, String)> {
         let (start, end) = (self.now, self.now + span);
         let mut all = Vec::new();
         while let Some(at) = self.coap.deadline().filter(|at| *at <= end) {
             self.now = self.now.max(at);
             let mut out = Vec::new();
             self.coap.sweep(self.now, &mut out);
-            let sent = self.sort(out);
-            all.extend(sent.iter().map(|(_, b)| ((self.now - start).0 / 1000, short(b))));
+            let sent = self.record(out);
+            all.extend(sent.iter().map(|(_, b)| ((self.now - start).0 / 1000, summary(b))));
         }
         self.now = end;
         all
@@ -107,19 +108,19 @@
     p
 }
 
-/// A confirmable request, with padding in its query so that its address may be answered at once.
-pub fn con(id: u16, method: RequestType, path: &str) -> Packet {
+/// A confirmable request, with a padded query so that the amplification limit allows an immediate response.
+pub fn confirmable(id: u16, method: RequestType, path: &str) -> Packet {
     let mut p = message(MessageType::Confirmable, id, &id.to_be_bytes(), method, path);
     p.add_option(option::URI_QUERY.into(), vec![b'p'; 250]);
     p
 }
 
 pub fn get(id: u16, path: &str) -> Packet {
-    con(id, RequestType::Get, path)
+    confirmable(id, RequestType::Get, path)
 }
 
 pub fn post(id: u16, path: &str, body: &[u8]) -> Packet {
-    let mut p = con(id, RequestType::Post, path);
+    let mut p = confirmable(id, RequestType::Post, path);
     p.payload = body.to_vec();
     p
 }
@@ -134,12 +135,13 @@
 }
 
 pub fn bytes(p: &Packet) -> Vec<u8> {
-    p.to_bytes_unlimited().expect("a message")
+    p.to_bytes_unlimited().expect("the test message can be encoded")
 }
 
-/// `ACK 7 2.05 "body" b2=0+/5`: type, id (none for those drawn here), code, payload, blocks, what matters of the options.
-pub fn short(b: &[u8]) -> String {
-    let p = Packet::from_bytes(b).expect("a message");
+/// A datagram as text, such as `ACK 7 2.05 "body" b2=0+/5`: type, message id (omitted where the front chose it), code,
+/// payload, block options and the tested numeric options.
+pub fn summary(b: &[u8]) -> String {
+    let p = Packet::from_bytes(b).expect("the front sends valid messages");
     let kind = match p.header.get_type() {
         MessageType::Confirmable => "CON".to_owned(),
         MessageType::NonConfirmable => "NON".to_owned(),
@@ -155,7 +157,7 @@
     }
     for (n, name) in [(option::BLOCK1, "b1"), (option::BLOCK2, "b2")] {
         if let Some(v) = p.get_first_option(n.into()) {
-            let b = Block::read(v).expect("a block");
+            let b = Block::read(v).expect("the front sends valid block options");
             t += &format!(" {name}={}{}/{}", b.num, if b.more { "+" } else { "" }, b.szx);
         }
     }
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Reports to the directory: what happens where it is down, slow, breaks off, or says more than it was asked.
+//! Reports to a directory that is down, slow, breaks off, or sends more than it was asked for.
 
 mod net;
 
@@ -11,10 +11,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-const YES: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
+const ACCEPTED: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 
-/// Reads one report off a connection; nothing where it ends before one is whole.
-async fn heard(s: &mut TcpStream) -> Option<String> {
+/// Reads one report from a connection; none where the connection ends before it is complete.
+async fn read_report(s: &mut TcpStream) -> Option<String> {
     let mut all = Vec::new();
     loop {
         let mut buffer = [0; 1024];
@@ -27,25 +27,25 @@
     }
 }
 
-async fn next(directory: &TcpListener) -> TcpStream {
-    within("a connection", directory.accept()).await.expect("accepted").0
+async fn accept(directory: &TcpListener) -> TcpStream {
+    within("a connection", directory.accept()).await.expect("the listener accepts a connection").0
 }
 
-fn reporting(at: std::net::SocketAddr, mode: Mode) -> (watch::Sender<Mode>, impl Future<Output = ()>) {
-    let (address, (said, watched)) = (watch::channel(Some(at)), watch::channel(mode));
+fn start_reports(at: std::net::SocketAddr, mode: Mode) -> (watch::Sender<Mode>, impl Future<Output = ()>) {
+    let (address, (mode_sender, watched)) = (watch::channel(Some(at)), watch::channel(mode));
     let reports = async move {
-        let keep = address.0;
+        let address_sender = address.0;
         report(address.1, "n0".to_owned(), watched, 7).await;
-        drop(keep);
+        drop(address_sender);
     };
-    (said, reports)
+    (mode_sender, reports)
 }
 
-/// Whatever a directory does with a report, the next one comes, on a connection of its own where the former may be
-/// spoilt: an answer that nobody asked for is not taken for the answer to a later report.
+/// Whatever a directory does with a report, the next report follows, on a new connection where the old one may carry
+/// stray bytes: an unrequested response is not taken for the response to a later report.
 #[tokio::test]
 async fn reports_go_on_whatever_the_directory_does() {
-    let spoilt: [(&str, &[u8]); 6] = [
+    let bad_responses: [(&str, &[u8]); 6] = [
         (
             "a second answer behind the first",
             b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n",
@@ -56,47 +56,48 @@
         ("a close without an answer", b""),
         ("an answer, then a close", b"HTTP/1.1 204 No Content\r\n\r\n"),
     ];
-    for (what, bytes) in spoilt {
+    for (what, bytes) in bad_responses {
         let (directory, at) = bind().await;
-        let (_said, reports) = reporting(at, Mode::Open);
+        let (_mode_sender, reports) = start_reports(at, Mode::Open);
         let talk = async {
-            let mut first = next(&directory).await;
-            assert_eq!(heard(&mut first).await.as_deref(), Some(r#"{"mode":"open"}"#), "{what}");
-            first.write_all(bytes).await.expect("written");
+            let mut first = accept(&directory).await;
+            assert_eq!(read_report(&mut first).await.as_deref(), Some(r#"{"mode":"open"}"#), "{what}");
+            first.write_all(bytes).await.expect("the response is written");
             if !what.starts_with("a second") && !what.starts_with("half") {
-                first.shutdown().await.expect("shut");
+                first.shutdown().await.expect("the sending side is closed");
             }
-            // Had the former connection been used again, nobody would come here.
-            let mut second = next(&directory).await;
-            assert_eq!(heard(&mut second).await.as_deref(), Some(r#"{"mode":"open"}"#), "{what}");
-            assert_eq!(heard(&mut first).await, None, "{what}: a report that nobody answered");
+            // If the old connection were reused, no second one would be made.
+            let mut second = accept(&directory).await;
+            assert_eq!(read_report(&mut second).await.as_deref(), Some(r#"{"mode":"open"}"#), "{what}");
+            assert_eq!(read_report(&mut first).await, None, "{what}: a report on the old connection");
         };
-        tokio::select! { () = reports => panic!("over"), () = talk => {} }
+        tokio::select! { () = reports => panic!("the reports end while the mode is still watched"), () = talk => {} }
     }
 }
 
-/// The news that this node takes no work waits for no answer to an earlier report, and goes out on another connection.
+/// The report that this node takes no work does not wait for the response to an earlier report; it goes out on a new
+/// connection.
 #[tokio::test]
-async fn leaving_waits_for_no_answer() {
+async fn the_report_of_leaving_does_not_wait_for_an_earlier_response() {
     let (directory, at) = bind().await;
-    let (said, reports) = reporting(at, Mode::Open);
+    let (mode_sender, reports) = start_reports(at, Mode::Open);
     let talk = async {
-        let mut first = next(&directory).await;
-        heard(&mut first).await.expect("a report");
-        said.send(Mode::Closed).expect("listened to");
-        let mut second = next(&directory).await;
-        assert_eq!(heard(&mut second).await.as_deref(), Some(r#"{"mode":"closed"}"#));
-        second.write_all(YES).await.expect("written");
-        // A quiet list stays closed: the same word again.
-        assert_eq!(heard(&mut second).await.as_deref(), Some(r#"{"mode":"closed"}"#));
+        let mut first = accept(&directory).await;
+        read_report(&mut first).await.expect("the first report is complete");
+        mode_sender.send(Mode::Closed).expect("the reporter watches the mode");
+        let mut second = accept(&directory).await;
+        assert_eq!(read_report(&mut second).await.as_deref(), Some(r#"{"mode":"closed"}"#));
+        second.write_all(ACCEPTED).await.expect("the response is written");
+        // The next report repeats the mode.
+        assert_eq!(read_report(&mut second).await.as_deref(), Some(r#"{"mode":"closed"}"#));
     };
-    tokio::select! { () = reports => panic!("over"), () = talk => {} }
+    tokio::select! { () = reports => panic!("the reports end while the mode is still watched"), () = talk => {} }
 }
 
-/// Nodes that lost the directory at one moment do not come back to it at one, and none stays away for long; those that
-/// report do so within a third of what an entry lasts.
+/// Nodes that lost the directory at the same time retry at different times and soon; nodes whose reports succeed repeat
+/// them within a third of an entry's lifetime.
 #[test]
-fn reports_are_spread() {
+fn retries_and_reports_of_many_nodes_are_spread_over_time() {
     let ms = Duration::from_millis;
     let mut nodes: Vec<ReportSchedule> = (0..300).map(ReportSchedule::new).collect();
     for failed in 0..12 {
@@ -113,7 +114,7 @@
     for n in &mut nodes {
         assert_eq!(n.report_ended(true), None);
         assert!((ms(800)..=ms(1_000)).contains(&n.interval()));
-        // After a good one the pauses are short again.
-        assert!(n.report_ended(false).expect("a pause") <= ms(150));
+        // After a success the retry pauses are short again.
+        assert!(n.report_ended(false).expect("a failed report is followed by a pause") <= ms(150));
     }
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for all that reads bytes or files.
+//! Tables of cases for the parsers of bytes and files.
 
 use bytes::{Bytes, BytesMut};
 use holdlift::agent::NoticeCodec;
@@ -10,8 +10,8 @@
 use holdlift::upstream::uwsgi::ReplyCodec;
 use tokio_util::codec::Decoder;
 
-/// All items of some bytes fed whole, and the end; the same must come out of them fed byte by byte.
-fn fed<D: Decoder<Error = End>>(make: impl Fn() -> D, bytes: &[u8]) -> String
+/// The items and the end that a codec decodes from `bytes` in one piece; feeding them byte by byte must give the same.
+fn decode_all<D: Decoder<Error = End>>(make: impl Fn() -> D, bytes: &[u8]) -> String
 where
     D::Item: std::fmt::Debug,
 {
@@ -53,7 +53,7 @@
         b"\x92\x01",
     ]
     .iter()
-    .map(|b| fed(ValueCodec::default, b))
+    .map(|b| decode_all(ValueCodec::default, b))
     .collect();
     insta::assert_snapshot!(seen.join("\n"));
     let endless = [&b"\xc6\x7f\xff\xff\xff"[..], &[0; 40 << 10]].concat();
@@ -89,7 +89,7 @@
         "dance\r\n",
     ]
     .iter()
-    .map(|t| fed(NoticeCodec::default, t.as_bytes()))
+    .map(|t| decode_all(NoticeCodec::default, t.as_bytes()))
     .collect();
     insta::assert_snapshot!(seen.join("\n"));
 }
@@ -113,7 +113,7 @@
         &format!("HTTP/1.1 200 OK\r\n{}", "X: y\r\n".repeat(2_000)),
     ]
     .iter()
-    .map(|t| fed(ResponseCodec::default, t.as_bytes()))
+    .map(|t| decode_all(ResponseCodec::default, t.as_bytes()))
     .collect();
     insta::assert_snapshot!(seen.join("\n"));
 }
@@ -122,7 +122,7 @@
 fn uwsgi_packets() {
     let of = |vars: &[(&str, &[u8])]| {
         let mut out = BytesMut::new();
-        packet::write(vars, &mut out).expect("it fits");
+        packet::write(vars, &mut out).expect("the vars fit into a packet");
         out.to_vec()
     };
     let good = of(&[("A", b"1"), ("CONTENT_LENGTH", b"3")]);
@@ -144,7 +144,7 @@
         [&good[..], b"a"].concat(),
     ]
     .iter()
-    .map(|b| fed(|| PacketCodec::new(128, 100), b))
+    .map(|b| decode_all(|| PacketCodec::new(128, 100), b))
     .collect();
     insta::assert_snapshot!(seen.join("\n"));
 }
@@ -162,11 +162,11 @@
         "",
     ]
     .iter()
-    .map(|t| fed(|| ReplyCodec::new(100, false), t.as_bytes()))
+    .map(|t| decode_all(|| ReplyCodec::new(100, false), t.as_bytes()))
     .collect();
     insta::assert_snapshot!(seen.join("\n"));
     let bare = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n";
-    assert!(fed(|| ReplyCodec::new(100, true), bare.as_bytes()).contains("Content-Length: 500"));
+    assert!(decode_all(|| ReplyCodec::new(100, true), bare.as_bytes()).contains("Content-Length: 500"));
 }
 
 #[test]
--- a/tests/parties.rs
+++ b/tests/parties.rs
@@ -1,4 +1,4 @@
-//! The other parties: the agent's conversation without a socket, the ledger's pool on one, and the program's flags.
+//! The agent protocol without a socket, the ledger's connection pool on real sockets, and the check of the program's files.
 
 mod net;
 
@@ -13,8 +13,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::sleep;
 
-fn said(out: &mut BytesMut) -> String {
-    String::from_utf8(out.split().to_vec()).expect("text").replace("\r\n", "|")
+fn sent_text(out: &mut BytesMut) -> String {
+    String::from_utf8(out.split().to_vec()).expect("the commands are valid UTF-8").replace("\r\n", "|")
 }
 
 fn launch() -> agent::Command {
@@ -29,19 +29,19 @@
     Notice::Sampled { tag: tag.to_owned(), values: vec![] }
 }
 
-/// After a lost link only what nothing proves to have arrived goes out again, and not before the missed notices.
+/// After a lost link only commands without proof of delivery are sent again, and only after the missed notices.
 #[test]
-fn commands_are_repeated_only_when_that_is_safe() {
+fn only_commands_without_proof_of_delivery_are_repeated_after_a_lost_link() {
     let (mut a, mut out) = (Agent::default(), BytesMut::new());
     let greeting = Notice::Greeting { cold: false, ms: 0.0 };
     a.command("early", launch(), &mut out);
-    assert_eq!(said(&mut out), "", "nothing is said without a link");
+    assert_eq!(sent_text(&mut out), "", "no command is sent without a link");
     a.linked(&mut out);
     a.handle_notice(greeting.clone(), &mut out);
-    assert_eq!(said(&mut out), "subscribe 0|sample barrier-1|");
+    assert_eq!(sent_text(&mut out), "subscribe 0|sample barrier-1|");
     a.handle_notice(sampled("barrier-1"), &mut out);
-    assert_eq!(said(&mut out), "launch early quote 2|hi|");
-    // Proven: by a later answer, by an outcome, by a call that the run asks for.
+    assert_eq!(sent_text(&mut out), "launch early quote 2|hi|");
+    // Delivery is proved by the answer to a later question, by an outcome, or by a call of the run.
     assert!(a.ask("sample", "s1", &mut out));
     a.handle_notice(sampled("s1"), &mut out);
     for name in ["ended", "called", "lost", "missed"] {
@@ -51,27 +51,27 @@
     a.handle_notice(Notice::Request { n: 2, name: "called".to_owned(), body: Bytes::new() }, &mut out);
     a.command("called", agent::Command::Deliver(Bytes::from_static(b"re")), &mut out);
     a.command("lost", agent::Command::Freeze, &mut out);
-    said(&mut out);
+    sent_text(&mut out);
     a.lost();
     assert!(!a.ask("sample", "s2", &mut out));
     a.linked(&mut out);
     a.handle_notice(greeting, &mut out);
-    assert_eq!(said(&mut out), "subscribe 2|sample barrier-2|");
-    // A notice heard before is no news; one missed keeps its launch from being repeated.
+    assert_eq!(sent_text(&mut out), "subscribe 2|sample barrier-2|");
+    // A notice received before is ignored; a missed outcome prevents its launch from being repeated.
     assert_eq!(a.handle_notice(outcome(1, "ended"), &mut out), None);
     assert!(a.handle_notice(outcome(3, "missed"), &mut out).is_some());
     assert_eq!(a.handle_notice(Notice::Aside { n: 4 }, &mut out), None);
     a.handle_notice(sampled("barrier-2"), &mut out);
-    assert_eq!(said(&mut out), "launch lost quote 2|hi|deliver called 2|re|freeze lost|");
+    assert_eq!(sent_text(&mut out), "launch lost quote 2|hi|deliver called 2|re|freeze lost|");
 }
 
 fn call(body: &str) -> Call {
     Call { name: "r1".to_owned(), limit_ms: 250, body: Bytes::from(body.to_owned()), once: false }
 }
 
-/// An agent that reads on but answers no question makes the list of what is unproven no longer than a bound.
+/// The list of unproven questions is bounded even when the agent reads on and answers none.
 #[test]
-fn unanswered_questions_do_not_pile_up() {
+fn the_number_of_unanswered_questions_is_bounded() {
     let (mut a, mut out) = (Agent::default(), BytesMut::new());
     a.linked(&mut out);
     a.handle_notice(Notice::Greeting { cold: false, ms: 0.0 }, &mut out);
@@ -80,25 +80,25 @@
     (0..10_000).for_each(|n| assert!(a.ask("sample", &format!("s{n}"), &mut out)));
     assert_eq!(a.unproven(), 65);
     a.handle_notice(sampled("s0"), &mut out);
-    assert_eq!(a.unproven(), 63, "what was said before the first question has arrived");
+    assert_eq!(a.unproven(), 63, "the answer proves the delivery of the question and the command before it");
 }
 
-/// Each reply has its meaning; no call is placed twice, and only a refused connection proves that none ran.
+/// Each reply maps to its outcome; no call is made twice, and only a refused connection proves that the call did not run.
 #[tokio::test]
 async fn the_ledger_is_called_once() {
     let (listener, address) = bind().await;
     let calls = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
-    let heard = calls.clone();
+    let received = calls.clone();
     tokio::spawn(async move {
         for conn in 0.. {
             let Ok((mut s, _)) = listener.accept().await else { return };
-            let heard = heard.clone();
+            let received = received.clone();
             tokio::spawn(async move {
                 let mut buffer = vec![0; 4096];
                 while let Ok(n @ 1..) = s.read(&mut buffer).await {
                     let text = String::from_utf8_lossy(&buffer[..n]).into_owned();
                     let body = text.rsplit("\r\n\r\n").next().unwrap_or("").to_owned();
-                    heard.lock().unwrap().push(format!("{conn} {body}"));
+                    received.lock().unwrap().push(format!("{conn} {body}"));
                     match body.as_str() {
                         "break" => return,
                         "last" => {
@@ -128,7 +128,7 @@
         "last",
     ] {
         seen.push(format!("{body:?} {:?}", within("a reply", pool.call(&call(body))).await));
-        // Long enough for the connection to have rested, or to have been closed meanwhile; then it is not used again.
+        // Longer than the least time between two calls; a connection closed meanwhile is not reused.
         sleep(Duration::from_millis(50)).await;
         if body == "last" {
             seen.push(format!("{:?}", within("a reply", pool.call(&call("200 OK"))).await));
@@ -139,10 +139,10 @@
     insta::assert_snapshot!(seen.join("\n"));
 }
 
-/// What comes ahead of a reply, behind it or instead of it is never taken for the answer to another call, and a call
-/// that must not be made twice shares no connection with what a ledger may have forgotten.
+/// Bytes before a reply, after it or in place of it are never taken for the answer to another call, and a call that must
+/// not be made twice never uses an idle connection, which the ledger may have closed.
 #[tokio::test]
-async fn a_reply_belongs_to_its_call() {
+async fn stray_bytes_are_never_taken_for_the_answer_to_another_call() {
     let (listener, address) = bind().await;
     tokio::spawn(async move {
         while let Ok((mut s, _)) = listener.accept().await {
@@ -179,10 +179,10 @@
         within("a reply", pool.call(&Call { once: true, ..call("x 0") })).await;
     }
     assert_eq!(pool.idle(), 0, "a connection made for one call is not kept");
-    // With a rest longer than any stall of the machine, a copy that is still on its way is never met.
-    let rested = Pool::new(address, 4).resting(Duration::from_secs(60));
+    // With a reuse delay longer than any stall of the machine, a copy still in transit can't meet a later call.
+    let slow_reuse = Pool::new(address, 4).resting(Duration::from_secs(60));
     for body in ["ahead 1", "behind 2", "late 3", "x 4"] {
-        assert_eq!(within("a reply", rested.call(&call(body))).await, (Outcome::Good, Bytes::from(body)));
+        assert_eq!(within("a reply", slow_reuse.call(&call(body))).await, (Outcome::Good, Bytes::from(body)));
     }
     for body in ["ahead 5", "behind 6", "late 7", "x 8"] {
         assert_eq!(within("a reply", pool.call(&call(body))).await, (Outcome::Good, Bytes::from(body)));
@@ -195,7 +195,7 @@
     assert_eq!(within("a reset", pool.call(&call("first 11"))).await.0, Outcome::Reset);
 }
 
-/// The operator's file that ships is good, and what is wrong in an inventory stops the start with its place.
+/// The uwsgi file in deploy/ is valid, and an error in an inventory or a file stops the start and names its place.
 #[test]
 fn files_are_checked_before_the_start() {
     let dir = std::env::temp_dir().join(format!("holdlift-check-{}", std::process::id()));
--- a/tests/uwsgi.rs
+++ b/tests/uwsgi.rs
@@ -1,4 +1,4 @@
-//! The uwsgi front on real sockets, alone and beside the platform's.
+//! The uwsgi front of a real node on real sockets, alone and together with the MessagePack front.
 
 mod net;
 
@@ -19,8 +19,8 @@
     (Setup { settings, servers: vec![server], slots, ..Setup::default() }.start().await, farm)
 }
 
-/// Waits until the node says that a counter stands so; its log is read at the end.
-async fn left(node: Node, wanted: &[&str]) {
+/// Stops the node and checks that its log contains each of these texts, such as the final values of counters.
+async fn stop_and_check_log(node: Node, wanted: &[&str]) {
     let (_, good, log) = node.leave().await;
     let missing: Vec<_> = wanted.iter().filter(|w| !log.contains(**w)).collect();
     assert!(good && missing.is_empty(), "{missing:?} not in {log}");
@@ -49,41 +49,47 @@
     }
     insta::assert_snapshot!(seen.join("\n"));
     assert_eq!(farm.runs.lock().unwrap().len(), 2);
-    left(node, &["asked.Uwsgi=2", "served=2", "unfit.UnknownClass=2", "unfit.BadRequest=2"]).await;
+    stop_and_check_log(node, &["asked.Uwsgi=2", "served=2", "unfit.UnknownClass=2", "unfit.BadRequest=2"])
+        .await;
 }
 
-/// What is cut off or stalls in its header, vars or body was never read; byte by byte all is well.
+/// A request that is cut off or stalls in its header, vars or body never reaches the core; one that arrives byte by byte
+/// is served.
 #[tokio::test]
-async fn only_whole_requests_are_read() {
+async fn only_complete_requests_reach_the_core() {
     let (node, farm) = node(2, 3_000).await;
-    let whole = packet(&[("CLASS", "book-job")], b"1 whole");
-    let places = [2, 10, whole.len() - 3];
-    for at in places {
+    let complete = packet(&[("CLASS", "book-job")], b"1 whole");
+    let cut_points = [2, 10, complete.len() - 3];
+    for at in cut_points {
         let mut s = TcpStream::connect(node.uwsgi).await.unwrap();
-        s.write_all(&whole[..at]).await.unwrap();
+        s.write_all(&complete[..at]).await.unwrap();
         drop(s);
     }
-    for at in places {
-        // Stalled, not closed: the node closes without a word.
-        assert_eq!(exchange(node.uwsgi, &whole[..at]).await.0, "");
+    for at in cut_points {
+        // Stalled but not closed: the node closes without a response.
+        assert_eq!(exchange(node.uwsgi, &complete[..at]).await.0, "");
     }
     let mut s = TcpStream::connect(node.uwsgi).await.unwrap();
     s.set_nodelay(true).unwrap();
-    for byte in &whole {
+    for byte in &complete {
         s.write_all(&[*byte]).await.unwrap();
         tokio::task::yield_now().await;
     }
     assert_eq!(read_reply(&mut s).await.0, "HTTP/1.1 200 OK");
     assert_eq!(farm.runs.lock().unwrap().len(), 1);
-    left(node, &["asked.Uwsgi=1 ", "cut_off=6", "closed.Uwsgi.CutOff=3", "closed.Uwsgi.Slow=3"]).await;
+    stop_and_check_log(
+        node,
+        &["asked.Uwsgi=1 ", "cut_off=6", "closed.Uwsgi.CutOff=3", "closed.Uwsgi.Slow=3"],
+    )
+    .await;
 }
 
-/// A write runs once, also when its server breaks off; only a server that can't be reached is passed over.
+/// A write runs at most once, even when its server breaks off the reply; only an unreachable server is skipped.
 #[tokio::test]
-async fn a_write_never_runs_twice() {
+async fn a_write_whose_server_breaks_off_never_runs_twice() {
     let (listener, broken) = bind().await;
-    let taken = Arc::new(std::sync::atomic::AtomicU32::new(0));
-    let count = taken.clone();
+    let received = Arc::new(std::sync::atomic::AtomicU32::new(0));
+    let count = received.clone();
     tokio::spawn(async move {
         while let Ok((mut s, _)) = listener.accept().await {
             read_packet(&mut s).await;
@@ -98,23 +104,23 @@
     let write = packet(&[("CLASS", "book-job")], b"1 x");
     for n in 1..=3 {
         assert_eq!(exchange(node.uwsgi, &write).await.0, "HTTP/1.1 502 Bad Gateway");
-        assert_eq!(taken.load(std::sync::atomic::Ordering::SeqCst), n);
+        assert_eq!(received.load(std::sync::atomic::Ordering::SeqCst), n);
     }
-    let nowhere = Setup { settings, servers: vec![refusing], slots: 1, ..Setup::default() }.start().await;
-    assert_eq!(exchange(nowhere.uwsgi, &write).await.0, "HTTP/1.1 502 Bad Gateway");
-    left(node, &["failed.Run=3"]).await;
+    let unreachable = Setup { settings, servers: vec![refusing], slots: 1, ..Setup::default() }.start().await;
+    assert_eq!(exchange(unreachable.uwsgi, &write).await.0, "HTTP/1.1 502 Bad Gateway");
+    stop_and_check_log(node, &["failed.Run=3"]).await;
 }
 
-/// Too much at once is refused, with a time to stay away.
+/// Requests beyond the capacity are refused with a Retry-After.
 #[tokio::test]
-async fn the_hold_refuses() {
+async fn excess_requests_are_refused_with_a_retry_time() {
     let (node, farm) = node(1, 400).await;
     let address = node.uwsgi;
-    let ask = |i| packet(&[("CLASS", "quote"), ("EFFORT", "200")], format!("200 job-{i}").as_bytes());
-    let crowd: Vec<_> =
-        (0..12).map(|i| tokio::spawn(async move { exchange(address, &ask(i)).await })).collect();
+    let request = |i| packet(&[("CLASS", "quote"), ("EFFORT", "200")], format!("200 job-{i}").as_bytes());
+    let connections: Vec<_> =
+        (0..12).map(|i| tokio::spawn(async move { exchange(address, &request(i)).await })).collect();
     let mut refused = 0;
-    for task in crowd {
+    for task in connections {
         let (line, rest) = task.await.unwrap();
         if line == "HTTP/1.1 503 Service Unavailable" {
             assert!(rest.contains("Retry-After: 1\r\n"), "{rest}");
@@ -122,16 +128,16 @@
         }
     }
     assert!(refused > 0 && farm.runs.lock().unwrap().len() == 12 - refused);
-    left(node, &[&format!("refused={refused} ")]).await;
+    stop_and_check_log(node, &[&format!("refused={refused} ")]).await;
 }
 
-/// A client gone from the hold is never run.
+/// The held request of a client that has disconnected never runs.
 #[tokio::test]
-async fn the_gone_are_forgotten() {
+async fn a_held_request_of_a_disconnected_client_never_runs() {
     let (node, farm) = node(1, 5_000).await;
     let address = node.uwsgi;
-    let ask = |name: &str| packet(&[("CLASS", "book-job")], format!("300 {name}").as_bytes());
-    let first = ask("first");
+    let request = |name: &str| packet(&[("CLASS", "book-job")], format!("300 {name}").as_bytes());
+    let first = request("first");
     let first = tokio::spawn(async move { exchange(address, &first).await.0 });
     within("a run", async {
         while farm.running.load(std::sync::atomic::Ordering::SeqCst) == 0 {
@@ -139,19 +145,20 @@
         }
     })
     .await;
-    let mut gone = TcpStream::connect(address).await.unwrap();
-    gone.write_all(&ask("gone")).await.unwrap();
+    let mut disconnected = TcpStream::connect(address).await.unwrap();
+    disconnected.write_all(&request("gone")).await.unwrap();
     sleep(Duration::from_millis(50)).await;
-    drop(gone);
+    drop(disconnected);
     assert_eq!(first.await.unwrap(), "HTTP/1.1 200 OK");
-    assert_eq!(exchange(address, &ask("last")).await.0, "HTTP/1.1 200 OK");
+    assert_eq!(exchange(address, &request("last")).await.0, "HTTP/1.1 200 OK");
     assert!(!farm.runs.lock().unwrap().contains_key("gone"));
-    left(node, &["asked.Uwsgi=3 ", "gone=1 "]).await;
+    stop_and_check_log(node, &["asked.Uwsgi=3 ", "gone=1 "]).await;
 }
 
-/// Drain: held and running work is answered, what comes past the grace is refused, and the process is gone in time.
+/// While draining, held and running requests are answered, requests after the grace period are refused, and the process
+/// exits in time.
 #[tokio::test]
-async fn leaving_answers_all() {
+async fn draining_answers_every_request() {
     let (node, farm) = node(2, 3_000).await;
     let address = node.uwsgi;
     let early: Vec<_> = (0..8)
@@ -165,7 +172,7 @@
     sleep(Duration::from_millis(600)).await;
     let late = exchange(address, &packet(&[("CLASS", "book-job")], b"1 late")).await;
     assert_eq!(late.0, "HTTP/1.1 503 Service Unavailable");
-    // The module turns away what it holds to be too long for the time left; nothing goes without an answer.
+    // The decision module refuses requests that it expects to outlast the time left; every request is answered.
     let mut served = 0;
     for task in early {
         let line = task.await.unwrap();
@@ -178,9 +185,9 @@
     assert!(!farm.runs.lock().unwrap().contains_key("late") && farm.most_runs() == 1);
 }
 
-/// A gateway that does not read a large reply holds up nobody else.
+/// A gateway that does not read a large reply delays no other.
 #[tokio::test]
-async fn slow_readers_stall_nobody() {
+async fn a_gateway_that_does_not_read_delays_no_other() {
     let (listener, server) = bind().await;
     tokio::spawn(async move {
         while let Ok((mut s, _)) = listener.accept().await {
@@ -193,27 +200,27 @@
     });
     let settings = settings(4, 3_000, 6_000);
     let node = Setup { settings, servers: vec![server], slots: 4, ..Setup::default() }.start().await;
-    let ask = packet(&[("CLASS", "quote")], b"");
-    let mut deaf = Vec::new();
+    let request = packet(&[("CLASS", "quote")], b"");
+    let mut unread = Vec::new();
     for _ in 0..6 {
         let mut s = TcpStream::connect(node.uwsgi).await.unwrap();
-        s.write_all(&ask).await.unwrap();
-        deaf.push(s);
+        s.write_all(&request).await.unwrap();
+        unread.push(s);
     }
-    let (line, rest) = exchange(node.uwsgi, &ask).await;
+    let (line, rest) = exchange(node.uwsgi, &request).await;
     assert_eq!((line.as_str(), rest.matches('x').count()), ("HTTP/1.1 200 OK", 200_000));
-    // And whoever reads late still gets it whole.
+    // A gateway that reads late still receives the complete reply.
     let mut got = Vec::new();
-    within("a reply", deaf[0].read_to_end(&mut got)).await.unwrap();
+    within("a reply", unread[0].read_to_end(&mut got)).await.unwrap();
     assert!(got.len() > 200_000);
 }
 
-/// Both kinds at 110% of what the farm can do: equal service per unit of work, and no rule broken.
+/// Both protocols together at 110% of the capacity: each gets the same service per unit of work, and no job runs twice.
 #[tokio::test]
-async fn a_mixed_crowd_is_served_alike() {
+async fn both_protocols_get_equal_service_under_overload() {
     const CORES: usize = 4;
     const SECONDS: f64 = 8.0;
-    /// How far the shares of work served may lie apart.
+    /// The largest difference between the shares of work served.
     const TOLERANCE: f64 = 0.12;
     let farm = Farm::new(CORES);
     let (listener, agent) = bind().await;
@@ -231,11 +238,12 @@
         }
         sleep(Duration::from_millis(5)).await;
     }
-    // A small generator with a fixed seed draws work, class and rank alike for both kinds.
-    let mut lots = 7u64;
+    // A generator with a fixed seed draws work, class and rank in the same way for both protocols.
+    let mut random_state = 7u64;
     let mut draw = move || {
-        lots = lots.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (lots >> 33) as f64 / (1u64 << 31) as f64
+        random_state =
+            random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (random_state >> 33) as f64 / (1u64 << 31) as f64
     };
     let start = tokio::time::Instant::now();
     let (mut at, mut tasks, mut i) = (0.0, Vec::new(), 0u32);
@@ -254,7 +262,7 @@
             let served = if uwsgi {
                 let vars = [("CLASS", name), ("RANK", &*rank), ("EFFORT", &*effort)];
                 let (line, _) = exchange(u, &packet(&vars, body.as_bytes())).await;
-                assert!(line.starts_with("HTTP/1.1 "), "no whole answer: {line:?}");
+                assert!(line.starts_with("HTTP/1.1 "), "incomplete answer: {line:?}");
                 line == "HTTP/1.1 200 OK"
             } else {
                 let mut c = Caller::connect(m).await;
@@ -265,17 +273,17 @@
                     &body,
                 )
                 .await;
-                c.answer().await.expect("an answer").word == "ok"
+                c.answer().await.expect("the node answers the request").word == "ok"
             };
             (uwsgi, ms, served, sent.elapsed())
         }));
         i += 1;
-        // Mean work over what is offered: 60 ms at 110% of 4 cores.
+        // The mean work of 60 ms arrives at 110% of the capacity of 4 cores.
         at += 0.060 / (1.1 * CORES as f64) * 2.0 * draw();
     }
     let (mut offered, mut served, mut slowest) = ([0.0; 2], [0.0; 2], Duration::ZERO);
     for task in tasks {
-        let (uwsgi, ms, ok, took) = task.await.expect("an answer");
+        let (uwsgi, ms, ok, took) = task.await.expect("the caller's task ends without a panic");
         offered[usize::from(uwsgi)] += ms;
         served[usize::from(uwsgi)] += if ok { ms } else { 0.0 };
         slowest = slowest.max(took);
@@ -287,13 +295,13 @@
     );
     assert!((shares[0] - shares[1]).abs() <= TOLERANCE, "{shares:?}");
     assert!(shares[0] > 0.3, "{shares:?}");
-    assert_eq!(farm.most_runs(), 1, "nothing ran twice");
-    left(node, &["backstop=0"]).await;
+    assert_eq!(farm.most_runs(), 1, "no job runs twice");
+    stop_and_check_log(node, &["backstop=0"]).await;
 }
 
-/// Closing idle connections spares one whose request is halfway in; it closes one that has sent nothing.
+/// Closing idle connections keeps one with a partial request open, and closes one that has sent nothing.
 #[tokio::test]
-async fn a_request_halfway_in_is_not_idle() {
+async fn a_connection_with_a_partial_request_is_not_idle() {
     use holdlift::door::profile::Profile;
     use holdlift::door::sources::SourceLimits;
     use holdlift::door::{
@@ -309,40 +317,40 @@
     let file = "listen = \"127.0.0.1:1\"\ninventory = \"x\"\nvars = { class = \"CLASS\" }\n";
     let config: std::rc::Rc<holdlift::front::uwsgi::UwsgiConfig> =
         std::rc::Rc::new(toml::from_str(file).unwrap());
-    let whole = packet(&[("CLASS", "quote")], b"slow body");
-    for (sent, asked) in [(0, false), (9, true), (whole.len() - 4, true)] {
+    let complete = packet(&[("CLASS", "quote")], b"slow body");
+    for (sent, is_submitted) in [(0, false), (9, true), (complete.len() - 4, true)] {
         let (listener, address) = bind().await;
         let mut client = TcpStream::connect(address).await.unwrap();
         let (stream, _) = listener.accept().await.unwrap();
-        let (events, mut heard) = tokio::sync::mpsc::channel::<ConnectionEvent>(8);
+        let (events, mut reported) = tokio::sync::mpsc::channel::<ConnectionEvent>(8);
         let (replies, inbox) = tokio::sync::mpsc::channel(8);
         let session = Gateway::new(1, settings.clone(), config.clone());
         let codec = Gateway::codec(&config);
-        let gate =
+        let listener_settings =
             ListenerSettings { profile: Profile::STRICT, connections_max: 4, partial_message_max: 1 << 16 };
         let settings = AdmissionSettings {
-            listeners: vec![gate],
+            listeners: vec![listener_settings],
             partial_bytes_max: 1 << 20,
             unsent_bytes_max: 1 << 20,
             sources: SourceLimits::NONE,
         };
-        let mut door = ConnectionAdmission::new(settings);
+        let mut admission = ConnectionAdmission::new(settings);
         let AdmissionDecision::Admit(id) =
-            door.admit(holdlift::time::process::now(), ListenerId(0), address.ip())
+            admission.admit(holdlift::time::process::now(), ListenerId(0), address.ip())
         else {
-            panic!("no room")
+            panic!("an empty admission state admits the first connection")
         };
-        let with = (SharedAdmission::new(door), Duration::from_millis(150));
+        let with = (SharedAdmission::new(admission), Duration::from_millis(150));
         let talk = async {
-            client.write_all(&whole[..sent]).await.unwrap();
+            client.write_all(&complete[..sent]).await.unwrap();
             sleep(Duration::from_millis(30)).await;
             replies.send(Reply::CloseIdle(holdlift::Micros(0))).await.unwrap();
             sleep(Duration::from_millis(30)).await;
-            let _ = client.write_all(&whole[sent..]).await;
-            let first = heard.recv().await;
+            let _ = client.write_all(&complete[sent..]).await;
+            let first = reported.recv().await;
             assert_eq!(
                 matches!(first, Some(ConnectionEvent::Input(Input::RequestReceived(..)))),
-                asked,
+                is_submitted,
                 "{sent}: {first:?}"
             );
             drop(client);
@@ -351,25 +359,25 @@
     }
 }
 
-/// Gateways that say nothing make room for those that do: not the one whose body is on its way, nor one that waits.
+/// Silent gateways are closed to admit new ones; a gateway whose body is arriving or whose request is open is not.
 #[tokio::test]
-async fn silent_gateways_make_room() {
+async fn silent_gateways_are_closed_for_active_ones() {
     let (node, _farm) = node(2, 3_000).await;
-    let whole = packet(&[("CLASS", "quote")], b"300 slow");
-    let mut waits = TcpStream::connect(node.uwsgi).await.unwrap();
-    waits.write_all(&whole).await.unwrap();
-    let mut halfway = TcpStream::connect(node.uwsgi).await.unwrap();
-    halfway.write_all(&whole[..whole.len() - 3]).await.unwrap();
+    let complete = packet(&[("CLASS", "quote")], b"300 slow");
+    let mut waiting = TcpStream::connect(node.uwsgi).await.unwrap();
+    waiting.write_all(&complete).await.unwrap();
+    let mut partial = TcpStream::connect(node.uwsgi).await.unwrap();
+    partial.write_all(&complete[..complete.len() - 3]).await.unwrap();
     sleep(Duration::from_millis(50)).await;
-    let mut crowd = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..100 {
-        crowd.push(TcpStream::connect(node.uwsgi).await.unwrap());
+        connections.push(TcpStream::connect(node.uwsgi).await.unwrap());
     }
     let got = exchange(node.uwsgi, &packet(&[("CLASS", "quote")], b"1 new")).await;
     assert_eq!(got.0, "HTTP/1.1 200 OK");
-    halfway.write_all(&whole[whole.len() - 3..]).await.unwrap();
-    for s in [&mut waits, &mut halfway] {
+    partial.write_all(&complete[complete.len() - 3..]).await.unwrap();
+    for s in [&mut waiting, &mut partial] {
         assert_eq!(read_reply(s).await.0, "HTTP/1.1 200 OK");
     }
-    left(node, &["closed.Uwsgi.Crowded="]).await;
+    stop_and_check_log(node, &["closed.Uwsgi.Crowded="]).await;
 }
