--- a/src/runtime/coap.rs
+++ b/src/runtime/coap.rs
@@ -197,11 +197,11 @@
                         driver.enqueue(to, bytes);
                     }
                 }
-                Output::Tell(Input::RequestReceived(origin, request)) => {
+                Output::ToCore(Input::RequestReceived(origin, request)) => {
                     let request = self.plan_request(request);
                     self.node.handle_input(now, Input::RequestReceived(origin, request), &mut self.outputs);
                 }
-                Output::Tell(input) => self.node.handle_input(now, input, &mut self.outputs),
+                Output::ToCore(input) => self.node.handle_input(now, input, &mut self.outputs),
             }
         }
         if let Some(driver) = &mut self.coap {
--- a/src/runtime/connections.rs
+++ b/src/runtime/connections.rs
@@ -11,7 +11,7 @@
 use crate::end::End;
 use crate::front::Reply;
 use crate::front::Wire;
-use crate::front::driver::{self, FromConn};
+use crate::front::driver::{self, ConnectionEvent};
 use crate::front::msgpack::{Caller, ValueCodec};
 use crate::front::uwsgi::Gateway;
 use crate::interface::Micros;
@@ -110,8 +110,10 @@
     /// Sends a command of connection admission. A connection whose queue is full is closed instead, unless the command only
     /// asks it to read.
     fn send_connection_command(&mut self, id: ConnectionId, command: ConnectionCommand) {
-        let is_full =
-            self.connections.get(&id.0).is_some_and(|c| c.replies.try_send(Reply::Door(command)).is_err());
+        let is_full = self
+            .connections
+            .get(&id.0)
+            .is_some_and(|c| c.replies.try_send(Reply::Admission(command)).is_err());
         if is_full && command != ConnectionCommand::ReadNow {
             // The peer does not read its answers: dropping the sender ends the connection's task.
             self.connections.remove(&id.0);
@@ -131,9 +133,9 @@
     }
 
     /// Handles an event from a connection's task: an input for the core, or the end of the connection.
-    pub(super) fn handle_connection_event(&mut self, now: Micros, event: FromConn) {
+    pub(super) fn handle_connection_event(&mut self, now: Micros, event: ConnectionEvent) {
         match event {
-            FromConn::Input(mut input) => {
+            ConnectionEvent::Input(mut input) => {
                 if let Input::RequestReceived(origin, request) = input {
                     input = Input::RequestReceived(origin, self.plan_request(request));
                 }
@@ -144,7 +146,7 @@
                     self.send_reply(o.connection, Reply::LastCall);
                 }
             }
-            FromConn::Closed { wire, conn, end } => {
+            ConnectionEvent::Closed { wire, conn, end } => {
                 debug!(conn, ?wire, "{end}");
                 self.connections.remove(&conn);
                 self.node.open_connections = self.connections.len();
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -44,9 +44,9 @@
 use crate::fleet::lease::holder::ReleaseEvidence;
 use crate::front::Wire;
 use crate::front::coap::Coap;
-use crate::front::driver::{Doorman, FromConn};
+use crate::front::driver::{ConnectionEvent, SharedAdmission};
 use crate::front::uwsgi::UwsgiConfig;
-use crate::front::{InForce, Reply};
+use crate::front::{CurrentSettings, Reply};
 use crate::interface::{Micros, Outcome, Settings};
 use crate::log::LogRateLimiter;
 use crate::node::{Input, Node, NodeOptions, Output, Worker};
@@ -68,7 +68,7 @@
 
 /// An event that a task sends to the event loop. A link number tells the current agent link from earlier ones.
 enum Event {
-    Connection(FromConn),
+    Connection(ConnectionEvent),
     Accepted(door::AcceptedConnection),
     ListenerFull(ListenerId),
     AgentLinked(u64, mpsc::Sender<Bytes>),
@@ -86,8 +86,8 @@
     RetryCoapBind,
 }
 
-impl From<FromConn> for Event {
-    fn from(e: FromConn) -> Event {
+impl From<ConnectionEvent> for Event {
+    fn from(e: ConnectionEvent) -> Event {
         Event::Connection(e)
     }
 }
@@ -100,7 +100,7 @@
 
 struct Runtime {
     node: Node,
-    settings: InForce,
+    settings: CurrentSettings,
     gauge_names: Vec<String>,
     agent: Agent,
     /// The agent link in use: its number, and the sender of its bytes.
@@ -108,7 +108,7 @@
     connections: HashMap<u64, connections::ConnectionHandle>,
     /// By [`ListenerId`].
     listener_infos: Vec<ListenerInfo>,
-    admission: Doorman,
+    admission: SharedAdmission,
     /// Limits log lines that a peer can cause.
     log_limiter: LogRateLimiter,
     calls: DependencyCalls,
@@ -226,13 +226,13 @@
         let idle_connections = config.limits.sockets / 16;
         Runtime {
             node: Node::new(settings.clone(), options),
-            settings: InForce::new(settings),
+            settings: CurrentSettings::new(settings),
             gauge_names: config.gauge_names(),
             agent: Agent::default(),
             agent_link: None,
             connections: HashMap::new(),
             listener_infos: Vec::new(),
-            admission: Doorman::new(ConnectionAdmission::new(edge.door(&config))),
+            admission: SharedAdmission::new(ConnectionAdmission::new(edge.door(&config))),
             log_limiter: LogRateLimiter::default(),
             calls: DependencyCalls::new(process::now(), tiers, idle_connections, config.lot()),
             coap: None,
@@ -332,7 +332,7 @@
                 biased;
                 signal = signals.next() => self.handle_signal(signal),
                 event = events.recv() => self.handle_ready_events(event, events)?,
-                () = admission.rung() => {}
+                () = admission.earlier_sweep_needed() => {}
                 () = service.order_applied() => self.publish_mode(),
                 () = sleep_until(wake_at) => {}
             }
@@ -401,7 +401,10 @@
         let next_timer =
             [self.node.next_deadline(), self.calls.next_timeout(), coap, stop].into_iter().flatten().min();
         let fleet = self.fleet.as_ref().map_or(u64::MAX, |f| f.time_to_next_timer().0);
-        let wait = next_timer.map_or(IDLE_WAIT_US, |at| (at - now).0).min(self.admission.wait().0).min(fleet);
+        let wait = next_timer
+            .map_or(IDLE_WAIT_US, |at| (at - now).0)
+            .min(self.admission.time_until_sweep().0)
+            .min(fleet);
         Instant::now() + Duration::from_micros(wait)
     }
 
@@ -547,7 +550,7 @@
 
     fn handle_agent_notice(&mut self, now: Micros, notice: Notice) -> Result<(), Box<dyn std::error::Error>> {
         let mut out = BytesMut::new();
-        let new_notice = self.agent.hear(notice, &mut out);
+        let new_notice = self.agent.handle_notice(notice, &mut out);
         self.send_to_agent(out);
         let input = match new_notice {
             None => return Ok(()),
