--- a/src/bin/holdlift-adapter/main.rs
+++ b/src/bin/holdlift-adapter/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many instances of the decision module and speaks the simulator's wire. Translates only.
+//! Adapter between the simulator and the decision module: hosts many instances of the module and translates between the
+//! simulator's line protocol and the module's events and actions. It takes no decisions.
 #![forbid(unsafe_code)]
 
 mod wire;
@@ -11,10 +12,12 @@
 
 use holdlift::{Action, Event, Micros, Policy, Settings};
 
-struct Hosted {
+/// One instance of the decision module.
+struct Instance {
     settings: Settings,
     policy: Policy,
     events: Vec<Event>,
+    /// Whether `order` lists it for the current batch.
     queued: bool,
 }
 
@@ -23,33 +26,34 @@
     seq: u64,
 }
 
-/// Why the stream could not go on.
-enum Stop {
+/// Why the input can't be processed further.
+enum StreamError {
     Malformed(String),
     Io(io::Error),
 }
 
-impl From<String> for Stop {
+impl From<String> for StreamError {
     fn from(reason: String) -> Self {
-        Stop::Malformed(reason)
+        StreamError::Malformed(reason)
     }
 }
 
 #[derive(Default)]
 struct Host {
-    /// Looked up by name only; order comes from `order`.
-    instances: HashMap<String, Hosted>,
+    /// By name. Never iterated, as the map's order is not deterministic: `order` gives the order.
+    instances: HashMap<String, Instance>,
     /// Instances with events in this batch, in order of first mention.
     order: Vec<String>,
-    about: Option<String>,
+    /// The instance that the following lines address.
+    addressed: Option<String>,
     batch: Option<Batch>,
     actions: Vec<Action>,
     reply: String,
 }
 
 impl Host {
-    /// Takes one line; the reply is complete when this returns true.
-    fn line(&mut self, line: &str) -> Result<bool, Stop> {
+    /// Processes one line; returns true at the end of a batch, when the reply is complete.
+    fn process_line(&mut self, line: &str) -> Result<bool, StreamError> {
         let (name, fields) = wire::split(line)?;
         match name {
             "TICK" => {
@@ -61,49 +65,54 @@
             }
             _ if self.batch.is_none() => return Err(format!("{name} outside a batch").into()),
             "EOF_BATCH" => {
-                self.answer()?;
+                self.finish_batch()?;
                 return Ok(true);
             }
             "ABOUT" => {
-                self.about = Some(fields.text("who")?.to_owned());
+                self.addressed = Some(fields.text("who")?.to_owned());
                 return Ok(false);
             }
             _ => {}
         }
-        let who = self.about.as_deref().ok_or_else(|| format!("{name} before ABOUT"))?;
+        let instance = self.addressed.as_deref().ok_or_else(|| format!("{name} before ABOUT"))?;
         match name {
             "OPEN_INSTANCE" => {
                 let settings = holdlift::settings::from_text(fields.text("params")?)?;
                 let policy =
                     Policy::new(settings.clone(), fields.int("random-seed")?).map_err(|e| e.to_string())?;
-                self.order.retain(|w| w != who);
-                self.order.push(who.to_owned());
-                self.instances
-                    .insert(who.to_owned(), Hosted { settings, policy, events: Vec::new(), queued: true });
+                self.order.retain(|name| name != instance);
+                self.order.push(instance.to_owned());
+                self.instances.insert(
+                    instance.to_owned(),
+                    Instance { settings, policy, events: Vec::new(), queued: true },
+                );
             }
             "HALT" => {
-                self.instances.remove(who);
-                self.order.retain(|w| w != who);
+                self.instances.remove(instance);
+                self.order.retain(|name| name != instance);
             }
             _ => {
-                let hosted =
-                    self.instances.get_mut(who).ok_or_else(|| format!("{name} for {who}, not open"))?;
+                let hosted = self
+                    .instances
+                    .get_mut(instance)
+                    .ok_or_else(|| format!("{name} for {instance}, not open"))?;
                 hosted.events.push(wire::event(name, &fields, &hosted.settings)?);
                 if !hosted.queued {
                     hosted.queued = true;
-                    self.order.push(who.to_owned());
+                    self.order.push(instance.to_owned());
                 }
             }
         }
         Ok(false)
     }
 
-    fn answer(&mut self) -> Result<(), Stop> {
+    /// Steps each instance with its events of the batch and writes the reply.
+    fn finish_batch(&mut self) -> Result<(), StreamError> {
         let Some(batch) = self.batch.take() else { return Ok(()) };
         self.reply.clear();
-        self.about = None;
-        for who in std::mem::take(&mut self.order) {
-            let Some(hosted) = self.instances.get_mut(&who) else { continue };
+        self.addressed = None;
+        for instance in std::mem::take(&mut self.order) {
+            let Some(hosted) = self.instances.get_mut(&instance) else { continue };
             self.actions.clear();
             let (policy, events, actions) = (&mut hosted.policy, &hosted.events, &mut self.actions);
             let stepped = panic::catch_unwind(AssertUnwindSafe(|| policy.step(batch.now, events, actions)));
@@ -111,7 +120,7 @@
             hosted.queued = false;
             match stepped {
                 Ok(Ok(())) => {}
-                Ok(Err(e)) => return Err(format!("{who}: {e}").into()),
+                Ok(Err(e)) => return Err(format!("{instance}: {e}").into()),
                 Err(cause) => {
                     let text = cause
                         .downcast_ref::<String>()
@@ -119,12 +128,12 @@
                         .or_else(|| cause.downcast_ref::<&str>().copied())
                         .unwrap_or("panic");
                     let text = text.replace(['\n', '\r'], " ");
-                    let _ = writeln!(self.reply, "ON_BEHALF who={who}\nEXCEPTION reason-text={text}");
+                    let _ = writeln!(self.reply, "ON_BEHALF who={instance}\nEXCEPTION reason-text={text}");
                     continue;
                 }
             }
             if !self.actions.is_empty() {
-                let _ = writeln!(self.reply, "ON_BEHALF who={who}");
+                let _ = writeln!(self.reply, "ON_BEHALF who={instance}");
                 for a in &self.actions {
                     wire::action(&mut self.reply, a);
                 }
@@ -135,18 +144,23 @@
     }
 }
 
-fn serve(input: &mut impl BufRead, output: &mut impl Write, at: &mut u64) -> Result<(), Stop> {
+/// Processes the input to its end; `line_number` counts lines from 1.
+fn serve(
+    input: &mut impl BufRead,
+    output: &mut impl Write,
+    line_number: &mut u64,
+) -> Result<(), StreamError> {
     let mut host = Host::default();
     let mut bytes = Vec::new();
     loop {
         bytes.clear();
-        if input.read_until(b'\n', &mut bytes).map_err(Stop::Io)? == 0 {
+        if input.read_until(b'\n', &mut bytes).map_err(StreamError::Io)? == 0 {
             return match host.batch {
                 Some(_) => Err("input ends within a batch".to_owned().into()),
                 None => Ok(()),
             };
         }
-        *at += 1;
+        *line_number += 1;
         let line = std::str::from_utf8(&bytes).map_err(|_| "not UTF-8".to_owned())?;
         let Some(line) = line.strip_suffix('\n') else {
             return Err("input ends within a line".to_owned().into());
@@ -155,25 +169,25 @@
         if host.batch.is_none() && line.is_empty() {
             continue;
         }
-        if host.line(line)? {
-            output.write_all(host.reply.as_bytes()).and_then(|()| output.flush()).map_err(Stop::Io)?;
+        if host.process_line(line)? {
+            output.write_all(host.reply.as_bytes()).and_then(|()| output.flush()).map_err(StreamError::Io)?;
         }
     }
 }
 
 fn main() -> ExitCode {
     panic::set_hook(Box::new(|_| {}));
-    let mut at = 0;
+    let mut line_number = 0;
     let mut input = io::BufReader::with_capacity(1 << 18, io::stdin().lock());
     let mut output = io::BufWriter::with_capacity(1 << 18, io::stdout().lock());
-    match serve(&mut input, &mut output, &mut at) {
+    match serve(&mut input, &mut output, &mut line_number) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Stop::Malformed(reason)) => {
-            eprintln!("holdlift-adapter: line {at}: {}", reason.replace(['\n', '\r'], " "));
+        Err(StreamError::Malformed(reason)) => {
+            eprintln!("holdlift-adapter: line {line_number}: {}", reason.replace(['\n', '\r'], " "));
             ExitCode::from(2)
         }
-        Err(Stop::Io(e)) => {
-            eprintln!("holdlift-adapter: line {at}: {e}");
+        Err(StreamError::Io(e)) => {
+            eprintln!("holdlift-adapter: line {line_number}: {e}");
             ExitCode::from(1)
         }
     }
--- a/src/bin/holdlift-adapter/wire.rs
+++ b/src/bin/holdlift-adapter/wire.rs
@@ -1,13 +1,13 @@
-//! The wire's words to and from the library's types. Translates only.
+//! Translation between the lines of the simulator's protocol and the library's types.
 
 use std::fmt::Write;
 
 use holdlift::{Action, Event, Gauges, Micros, Outcome, Request, RequestId, Settings, TimerToken};
 
-/// The name=value pairs of one line.
+/// The `name=value` pairs of one line.
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
-/// Splits a line into its name and pairs. `text` names the one field that runs to the line's end.
+/// Splits a line into its name and pairs. The value of `params` runs to the end of the line, spaces included.
 pub fn split(line: &str) -> Result<(&str, Fields<'_>), String> {
     let (name, mut rest) = line.split_once(' ').unwrap_or((line, ""));
     let mut pairs = Vec::new();
@@ -25,19 +25,23 @@
 }
 
 impl<'a> Fields<'a> {
+    /// The value of a field, which may be empty.
     pub fn get(&self, key: &str) -> Option<&'a str> {
         self.0.iter().find(|(k, _)| *k == key).map(|(_, v)| *v)
     }
 
+    /// The value of a field that must not be empty.
     pub fn text(&self, key: &str) -> Result<&'a str, String> {
         self.get(key).filter(|v| !v.is_empty()).ok_or_else(|| format!("{key} is missing"))
     }
 
+    /// A whole number, where the field is present.
     pub fn opt_int(&self, key: &str) -> Result<Option<u64>, String> {
         let parse = |v: &str| v.parse().map_err(|_| format!("{key} is not a whole number: '{v}'"));
         self.get(key).map(parse).transpose()
     }
 
+    /// A whole number that must be present.
     pub fn int(&self, key: &str) -> Result<u64, String> {
         self.opt_int(key)?.ok_or_else(|| format!("{key} is missing"))
     }
@@ -127,7 +131,7 @@
     })
 }
 
-/// Writes one action.
+/// Appends one action as a line.
 pub fn action(out: &mut String, a: &Action) {
     let flag = |b: bool| u8::from(b);
     let written = match a {
@@ -135,10 +139,10 @@
         Action::Call(id, at) => writeln!(out, "INVOKE tid={} expire-at-us={}", id.0, at.0),
         Action::SkipCall(id) => writeln!(out, "BYPASS tid={}", id.0),
         Action::Fail(id) => writeln!(out, "FAIL tid={}", id.0),
-        Action::Refuse { id, is_final: give_up, retry_after: wait } => {
-            let _ = write!(out, "SAY_NO tid={} give-up={}", id.0, flag(*give_up));
-            if wait.0 > 0 {
-                let _ = write!(out, " wait-us={}", wait.0);
+        Action::Refuse { id, is_final, retry_after } => {
+            let _ = write!(out, "SAY_NO tid={} give-up={}", id.0, flag(*is_final));
+            if retry_after.0 > 0 {
+                let _ = write!(out, " wait-us={}", retry_after.0);
             }
             writeln!(out)
         }
--- a/src/bin/holdlift/config.rs
+++ b/src/bin/holdlift/config.rs
@@ -1,4 +1,4 @@
-//! `holdlift config`: the configuration that the fleet's keepers hold: have it changed, look at it, go back.
+//! `holdlift config`: shows, changes and rolls back the configuration that the fleet's replicas store.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -13,19 +13,19 @@
 use holdlift::runtime::replica::client::{ReplicaClient, ReplicaClientError, RolloutStatus, VersionSummary};
 use serde_json::{Value, json};
 
-use super::{Ended, Told};
+use super::{CommandResult, GlobalOptions};
 
-/// Names that are printed of each kind of change.
-const NAMES: usize = 6;
-/// Between two looks at where the nodes are.
-const LOOK: Duration = Duration::from_millis(100);
+/// Limit on the record names printed for each kind of change.
+const NAMES_MAX: usize = 6;
+/// Interval between two queries of the rollout status.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Subcommand)]
-pub enum Ask {
+pub enum ConfigCommand {
     /// Print the settings in force, each with its unit, default and source.
     Show,
     /// Have the fleet's classes and tenants be those of a file: the whole, as the platform's file has them.
-    Apply(Apply),
+    Apply(ApplyArgs),
     /// Print the last versions: number, digest, what they changed, by whom, when and why.
     History {
         /// So many at the most.
@@ -37,14 +37,14 @@
         /// The former version.
         to: u64,
         #[command(flatten)]
-        by: By,
+        by: AuthorArgs,
     },
     /// Let a version go to all nodes that is stopped, or still on trial, whatever the first nodes have made of it.
     Release {
         /// The version.
         version: u64,
         #[command(flatten)]
-        by: By,
+        by: AuthorArgs,
     },
     /// Print how many nodes have which version in force, who lags, and which version is stopped and why.
     Where {
@@ -60,7 +60,7 @@
 }
 
 #[derive(Args)]
-pub struct By {
+pub struct AuthorArgs {
     /// Who makes the change; the system's user where none is given.
     #[arg(long, value_name = "NAME")]
     by: Option<String>,
@@ -70,7 +70,7 @@
 }
 
 #[derive(Args)]
-pub struct Apply {
+pub struct ApplyArgs {
     /// The file: JSON, all classes and tenants.
     file: PathBuf,
     /// The version that the file was made for; the file's own "revision" where none is given.
@@ -80,19 +80,20 @@
     #[arg(long)]
     dry_run: bool,
     #[command(flatten)]
-    by: By,
+    by: AuthorArgs,
 }
 
-impl By {
-    fn signed(&self) -> ChangeAuthor {
+impl AuthorArgs {
+    /// The author, note and current time, for the version history.
+    fn change_author(&self) -> ChangeAuthor {
         let author = self.by.clone().or_else(|| std::env::var("USER").ok()).unwrap_or_default();
         let at = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_secs());
         ChangeAuthor { author, note: self.note.clone(), at }
     }
 }
 
-pub fn run(told: &Told, ask: &Ask) -> Ended {
-    let file = told.fleet.as_deref().ok_or("the fleet's configuration needs --fleet FILE")?;
+pub fn run(options: &GlobalOptions, command: &ConfigCommand) -> CommandResult {
+    let file = options.fleet.as_deref().ok_or("the fleet's configuration needs --fleet FILE")?;
     let fleet = Fleet::load(file, None)?;
     if fleet.catalog.is_none() {
         return Err(
@@ -102,22 +103,22 @@
     let client = ReplicaClient::new(&fleet);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
-        match ask {
-            Ask::Show => Ok(()),
-            Ask::Apply(form) => apply(&client, form).await,
-            Ask::History { last } => history(&client, *last).await,
-            Ask::Rollback { to, by } => {
-                let revision = client.rollback(Revision(*to), &by.signed()).await?;
+        match command {
+            ConfigCommand::Show => Ok(()),
+            ConfigCommand::Apply(args) => apply(&client, args).await,
+            ConfigCommand::History { last } => history(&client, *last).await,
+            ConfigCommand::Rollback { to, by } => {
+                let revision = client.rollback(Revision(*to), &by.change_author()).await?;
                 println!("agreed: version {revision} has the records of version {to}");
                 Ok(())
             }
-            Ask::Release { version, by } => {
-                let revision = client.release(Revision(*version), &by.signed()).await?;
+            ConfigCommand::Release { version, by } => {
+                let revision = client.release(Revision(*version), &by.change_author()).await?;
                 println!("agreed: all nodes may have version {revision}");
                 Ok(())
             }
-            Ask::Where { json, wait } => whereabouts(&client, *json, *wait).await,
-            Ask::Export => {
+            ConfigCommand::Where { json, wait } => print_rollout_status(&client, *json, *wait).await,
+            ConfigCommand::Export => {
                 println!("{}", serde_json::to_string_pretty(&export(&client.fetch_latest().await?))?);
                 Ok(())
             }
@@ -125,24 +126,24 @@
     })
 }
 
-/// The version that a file says it was made for.
-fn base(text: &str) -> Option<Revision> {
+/// The version that a file was made for, from its key "revision".
+fn base_revision(text: &str) -> Option<Revision> {
     #[derive(serde::Deserialize)]
-    struct Head {
+    struct RevisionField {
         revision: Option<u64>,
     }
-    serde_json::from_str::<Head>(text).ok()?.revision.map(Revision)
+    serde_json::from_str::<RevisionField>(text).ok()?.revision.map(Revision)
 }
 
-async fn apply(client: &ReplicaClient, form: &Apply) -> Ended {
-    let name = form.file.display().to_string();
-    let text = std::fs::read_to_string(&form.file).map_err(|e| format!("{name}: {e}"))?;
-    let whole = file_format::parse(&name, &text)?;
-    let made_for = form.base.map(Revision).or_else(|| base(&text));
-    let now = client.fetch_latest().await?;
-    let newest = now.revision();
+async fn apply(client: &ReplicaClient, args: &ApplyArgs) -> CommandResult {
+    let name = args.file.display().to_string();
+    let text = std::fs::read_to_string(&args.file).map_err(|e| format!("{name}: {e}"))?;
+    let file = file_format::parse(&name, &text)?;
+    let made_for = args.base.map(Revision).or_else(|| base_revision(&text));
+    let current = client.fetch_latest().await?;
+    let newest = current.revision();
     match made_for {
-        Some(base) if base != newest => return Err(overtaken(client, base, newest).await.into()),
+        Some(base) if base != newest => return Err(overtaken_error(client, base, newest).await.into()),
         None if newest != Revision::default() => {
             return Err(format!(
                 "{name}: says no version that it was made for, and {newest} is the newest; right would be a file from \
@@ -152,16 +153,16 @@
         }
         _ => {}
     }
-    let change = match diff(&now, &whole.records, &whole.covered_kinds, form.by.signed()) {
+    let change = match diff(&current, &file.records, &file.covered_kinds, args.by.change_author()) {
         Ok(change) => change,
         Err(ChangeError::Empty) => {
             println!("nothing to change: version {newest} has all of {name}");
             return Ok(());
         }
-        Err(refused) => return Err(whole.locate_error(&refused).into()),
+        Err(refused) => return Err(file.locate_error(&refused).into()),
     };
-    print!("{}", said(&now, &change));
-    if form.dry_run {
+    print!("{}", change_summary(&current, &change));
+    if args.dry_run {
         println!("not proposed; it would be version {}", change.resulting_revision());
         return Ok(());
     }
@@ -171,26 +172,26 @@
             Ok(())
         }
         Err(ReplicaClientError::Refused(reason)) => {
-            // Another was first, or it can't be.
+            // Another change was agreed first, or the replicas reject this one.
             let newest = client.history(1).await.ok().and_then(|(rows, _)| rows.last().map(|r| r.revision));
             match newest.filter(|n| *n != change.base) {
-                Some(newest) => Err(overtaken(client, change.base, newest).await.into()),
+                Some(newest) => Err(overtaken_error(client, change.base, newest).await.into()),
                 None => Err(reason.into()),
             }
         }
-        Err(fault) => Err(fault.into()),
+        Err(error) => Err(error.into()),
     }
 }
 
-/// What an operator is told whose file was made for a version that is the newest no more.
-async fn overtaken(client: &ReplicaClient, base: Revision, newest: Revision) -> String {
+/// The error for a file that was made for a version that is no longer the newest.
+async fn overtaken_error(client: &ReplicaClient, base: Revision, newest: Revision) -> String {
     let rows = client.history(64).await.map(|(rows, _)| rows).unwrap_or_default();
     let since: Vec<String> = rows
         .iter()
         .filter(|r| r.revision > base)
         .rev()
         .take(3)
-        .map(|r| format!("version {} by {}", r.revision, named(&r.author)))
+        .map(|r| format!("version {} by {}", r.revision, author_label(&r.author)))
         .collect();
     let since = if since.is_empty() { String::new() } else { format!(": {}", since.join(", ")) };
     format!(
@@ -199,30 +200,31 @@
     )
 }
 
-fn named(author: &str) -> &str {
+/// The author as printed, with a substitute for an empty name.
+fn author_label(author: &str) -> &str {
     if author.is_empty() { "somebody" } else { author }
 }
 
-/// What a change changes, by counts and a few names.
-fn said(now: &ConfigVersion, change: &ChangeSet) -> String {
-    let mut of: BTreeMap<(RecordKind, &str), Vec<&str>> = BTreeMap::new();
+/// A change's counts and first record names, one line for each kind.
+fn change_summary(current: &ConfigVersion, change: &ChangeSet) -> String {
+    let mut names_by_change: BTreeMap<(RecordKind, &str), Vec<&str>> = BTreeMap::new();
     for record in &change.set {
-        let what = if now.get(&record.key()).is_some() { "changed" } else { "new" };
-        of.entry((record.kind(), what)).or_default().push(record.name().as_str());
+        let what = if current.get(&record.key()).is_some() { "changed" } else { "new" };
+        names_by_change.entry((record.kind(), what)).or_default().push(record.name().as_str());
     }
     for key in &change.remove {
-        of.entry((key.kind, "removed")).or_default().push(key.name.as_str());
+        names_by_change.entry((key.kind, "removed")).or_default().push(key.name.as_str());
     }
     let mut text = String::new();
-    for ((kind, what), names) in of {
-        let few = names.iter().take(NAMES).copied().collect::<Vec<_>>().join(", ");
-        let more = if names.len() > NAMES { ", ..." } else { "" };
-        text += &format!("  {kind}: {} {what}: {few}{more}\n", names.len());
+    for ((kind, what), names) in names_by_change {
+        let first_names = names.iter().take(NAMES_MAX).copied().collect::<Vec<_>>().join(", ");
+        let more = if names.len() > NAMES_MAX { ", ..." } else { "" };
+        text += &format!("  {kind}: {} {what}: {first_names}{more}\n", names.len());
     }
     text
 }
 
-async fn history(client: &ReplicaClient, last: u32) -> Ended {
+async fn history(client: &ReplicaClient, last: u32) -> CommandResult {
     let (rows, oldest) = client.history(last).await?;
     if rows.is_empty() {
         println!("no versions: the nodes' own files are in force");
@@ -231,31 +233,31 @@
     for VersionSummary { revision, digest, set, removed, author, note, at } in rows {
         println!(
             "{revision:>6}  {digest}  {set:>5} set  {removed:>5} removed  at {at}  {}  {note}",
-            named(&author)
+            author_label(&author)
         );
     }
     println!("`holdlift config rollback` can go back to version {oldest} and later");
     Ok(())
 }
 
-async fn whereabouts(client: &ReplicaClient, as_json: bool, wait: Option<u64>) -> Ended {
-    let by = std::time::Instant::now() + Duration::from_secs(wait.unwrap_or(0));
+async fn print_rollout_status(client: &ReplicaClient, as_json: bool, wait: Option<u64>) -> CommandResult {
+    let deadline = std::time::Instant::now() + Duration::from_secs(wait.unwrap_or(0));
     let all = loop {
         let all = client.rollout_status().await?;
         let nodes: u32 = all.counts.iter().map(|c| c.1).sum();
-        let there = all.lagging + all.waiting == 0 && nodes > 0;
-        // One that is stopped is waited for in vain.
-        if there || stopped(&all) || std::time::Instant::now() >= by {
+        let all_reached = all.lagging + all.waiting == 0 && nodes > 0;
+        // A stopped rollout makes no progress, so the wait ends.
+        if all_reached || is_halted(&all) || std::time::Instant::now() >= deadline {
             break all;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(STATUS_POLL_INTERVAL).await;
     };
     if as_json {
         println!("{}", serde_json::to_string_pretty(&all)?);
     } else {
-        print!("{}", table(&all));
+        print!("{}", status_text(&all));
     }
-    if wait.is_some() && stopped(&all) {
+    if wait.is_some() && is_halted(&all) {
         return Err(format!("version {} is stopped", all.newest).into());
     }
     if wait.is_some() && all.lagging + all.waiting > 0 {
@@ -264,13 +266,13 @@
     Ok(())
 }
 
-/// Whether the newest version spreads no further.
-fn stopped(all: &RolloutStatus) -> bool {
+/// Whether the rollout of the newest version is halted.
+fn is_halted(all: &RolloutStatus) -> bool {
     all.halted.as_ref().is_some_and(|s| s.revision == all.newest)
 }
 
-/// What is held back, and why.
-fn held_back(all: &RolloutStatus) -> String {
+/// The versions that are stopped or on trial, with the reasons.
+fn held_versions(all: &RolloutStatus) -> String {
     let mut text = String::new();
     if let Some(s) = &all.halted {
         text += &format!(
@@ -278,15 +280,15 @@
              it go on, `apply` or `rollback` bring a later one\n",
             s.revision, all.released, s.revision
         );
-        for (node, harm) in &s.failures {
-            text += &match harm {
+        for (node, failure) in &s.failures {
+            text += &match failure {
                 CanaryFailure::Rejected(why) => format!("  {node} can't have it: {why}\n"),
                 CanaryFailure::Unresponsive => format!("  {node} has fallen silent with it\n"),
                 CanaryFailure::Restarted => format!("  {node} has ended with it and begun anew\n"),
             };
         }
     }
-    if all.released < all.newest && !stopped(all) {
+    if all.released < all.newest && !is_halted(all) {
         let first =
             if all.canary_nodes.is_empty() { "nobody yet".to_owned() } else { all.canary_nodes.join(", ") };
         text += &format!(
@@ -297,7 +299,8 @@
     text
 }
 
-fn table(all: &RolloutStatus) -> String {
+/// The rollout status as text.
+fn status_text(all: &RolloutStatus) -> String {
     let nodes: u32 = all.counts.iter().map(|c| c.1).sum();
     let agreed = all.agreed_ms.map_or(String::new(), |ms| format!(", agreed {:.1} s ago", ms as f64 / 1e3));
     let last = match all.last_reached_ms {
@@ -311,15 +314,15 @@
     for (revision, n) in &all.counts {
         text += &format!("  version {revision}: {n} nodes\n");
     }
-    text += &held_back(all);
+    text += &held_versions(all);
     for l in &all.lagging_nodes {
         let why = l.refused.as_ref().map_or(String::new(), |(of, why)| format!("; can't have {of}: {why}"));
         let heard = l.last_seen_ms as f64 / 1e3;
         text += &format!("  lags: {} at version {}, heard {heard:.1} s ago{why}\n", l.name, l.revision);
     }
-    let named = u32::try_from(all.lagging_nodes.len()).unwrap_or(u32::MAX);
-    if all.lagging > named {
-        text += &format!("  and {} more\n", all.lagging - named);
+    let listed = u32::try_from(all.lagging_nodes.len()).unwrap_or(u32::MAX);
+    if all.lagging > listed {
+        text += &format!("  and {} more\n", all.lagging - listed);
     }
     for name in &all.diverged {
         text += &format!(
@@ -329,9 +332,9 @@
     text
 }
 
-/// A version as a file that `apply` reads.
+/// Converts a version into the JSON file that `apply` reads.
 fn export(catalog: &ConfigVersion) -> Value {
-    let (mut classes, mut calls, mut without, mut accounts) =
+    let (mut classes, mut calls, mut weights_without_call, mut accounts) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     for record in catalog.records() {
         match record {
@@ -345,7 +348,7 @@
                     "aim-stretch": c.objective_stretch.get(), "deadline-us": c.deadline.0,
                     "late-worth": c.late_weight.get(), "points": c.weight.get(), "memory-span-us": c.repeat_window.0}));
                 calls.push(c.may_call_dependencies);
-                without.push(c.weight_without_call.get());
+                weights_without_call.push(c.weight_without_call.get());
             }
             Record::Tenant(t) => {
                 accounts.push(json!({"name": t.name.as_str(), "quota-per-s": t.quota_per_s.get()}));
@@ -354,5 +357,5 @@
         }
     }
     json!({"revision": catalog.revision().0, "classes": classes, "accounts": accounts,
-        "domain": {"class-calls": calls, "worth-without": without}})
+        "domain": {"class-calls": calls, "worth-without": weights_without_call}})
 }
--- a/src/bin/holdlift/keeper.rs
+++ b/src/bin/holdlift/keeper.rs
@@ -1,14 +1,14 @@
-//! `holdlift keeper`: one of those who keep the fleet's book.
+//! `holdlift keeper`: runs a replica of the fleet's budget ledger.
 
 use std::path::Path;
 
 use holdlift::config::fleet::Fleet;
 use holdlift::runtime::replica;
 
-use super::{Ended, Told};
+use super::{CommandResult, GlobalOptions};
 
-pub fn run(told: &Told, name: &str, folder: &Path) -> Ended {
-    let file = told.fleet.as_deref().ok_or("a keeper needs --fleet FILE")?;
+pub fn run(options: &GlobalOptions, name: &str, folder: &Path) -> CommandResult {
+    let file = options.fleet.as_deref().ok_or("a keeper needs --fleet FILE")?;
     let fleet = Fleet::load(file, None)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     Ok(runtime.block_on(replica::run(name.to_owned(), folder.to_owned(), fleet))?)
--- a/src/bin/holdlift/main.rs
+++ b/src/bin/holdlift/main.rs
@@ -1,4 +1,4 @@
-//! A real intake node, and the command line for those who run one.
+//! The command line of an intake node and of the operators' tools.
 #![forbid(unsafe_code)]
 
 mod check;
@@ -20,8 +20,8 @@
 use holdlift::config::tiers::Tiers;
 use holdlift::log::{self, LogFormat};
 
-/// What a sub-command ends with.
-type Ended = Result<(), Box<dyn std::error::Error>>;
+/// Result of a sub-command; the error is printed for the operator.
+type CommandResult = Result<(), Box<dyn std::error::Error>>;
 
 /// An intake node that decides what it takes, runs and turns away.
 ///
@@ -32,7 +32,7 @@
 #[command(name = "holdlift", version, about, args_conflicts_with_subcommands = false)]
 struct Cli {
     #[command(flatten)]
-    told: Told,
+    options: GlobalOptions,
     #[command(subcommand)]
     command: Option<Command>,
     /// Read the configuration, say whether it is good, and exit: the same as `check`.
@@ -40,9 +40,9 @@
     check: bool,
 }
 
-/// What a node is told, besides the platform's variables.
+/// Options that all sub-commands take.
 #[derive(Args)]
-struct Told {
+struct GlobalOptions {
     /// Serve uwsgi too, as this operator's file says.
     #[arg(long, value_name = "FILE", global = true)]
     uwsgi: Option<PathBuf>,
@@ -72,7 +72,8 @@
     /// Print the tiers below and each class's plan of calls, as the node reads them.
     Tiers,
     /// Run a keeper of the fleet's book.
-    Keeper {
+    #[command(name = "keeper")]
+    Replica {
         /// Its name in the file.
         name: String,
         /// The folder of its book.
@@ -81,43 +82,43 @@
     },
     /// Ask a running node what it knows of its fleet.
     #[command(subcommand)]
-    Fleet(fleet::Ask),
+    Fleet(fleet::FleetCommand),
     /// The configuration: what is in force here, and what the fleet's keepers hold.
     #[command(subcommand)]
-    Config(config::Ask),
+    Config(config::ConfigCommand),
 }
 
-impl Told {
-    /// Reads everything that a node is told.
-    fn read(&self) -> Result<(Config, Settings, Edge, Tiers), Box<dyn std::error::Error>> {
+impl GlobalOptions {
+    /// Reads the platform's configuration and the operators' files, except the fleet file.
+    fn read_node_files(&self) -> Result<(Config, Settings, Edge, Tiers), Box<dyn std::error::Error>> {
         let (config, settings) = Config::from_env()?;
         let edge = Edge::load(self.edge.as_deref(), self.uwsgi.as_deref(), &config, &settings)?;
         let tiers = Tiers::load(self.tiers.as_deref(), &config, &settings)?;
         Ok((config, settings, edge, tiers))
     }
 
-    /// The fleet's file, checked against a node's tiers and members.
-    fn fleet(&self, tiers: &Tiers, s: &Settings) -> Result<Option<Fleet>, Box<dyn std::error::Error>> {
+    /// Reads the fleet file, checked against a node's tiers and tenants; `None` where no file is given.
+    fn read_fleet(&self, tiers: &Tiers, s: &Settings) -> Result<Option<Fleet>, Box<dyn std::error::Error>> {
         Ok(self.fleet.as_deref().map(|file| Fleet::load(file, Some((tiers, s)))).transpose()?)
     }
 }
 
-fn start(cli: &Cli) -> Ended {
-    log::start_logging(&cli.told.log, cli.told.log_format)?;
+fn run_command(cli: &Cli) -> CommandResult {
+    log::start_logging(&cli.options.log, cli.options.log_format)?;
     match &cli.command {
-        Some(Command::Check) => check::run(&cli.told),
-        Some(Command::Tiers) => tiers::run(&cli.told),
-        Some(Command::Keeper { name, data }) => keeper::run(&cli.told, name, data),
-        Some(Command::Fleet(ask)) => fleet::run(ask),
-        Some(Command::Config(config::Ask::Show)) => show::run(&cli.told),
-        Some(Command::Config(ask)) => config::run(&cli.told, ask),
-        _ if cli.check => check::run(&cli.told),
-        Some(Command::Serve) | None => serve::run(&cli.told),
+        Some(Command::Check) => check::run(&cli.options),
+        Some(Command::Tiers) => tiers::run(&cli.options),
+        Some(Command::Replica { name, data }) => keeper::run(&cli.options, name, data),
+        Some(Command::Fleet(command)) => fleet::run(command),
+        Some(Command::Config(config::ConfigCommand::Show)) => show::run(&cli.options),
+        Some(Command::Config(command)) => config::run(&cli.options, command),
+        _ if cli.check => check::run(&cli.options),
+        Some(Command::Serve) | None => serve::run(&cli.options),
     }
 }
 
 fn main() -> ExitCode {
-    match start(&Cli::parse()) {
+    match run_command(&Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("holdlift: {e}");
--- a/src/bin/holdlift/serve.rs
+++ b/src/bin/holdlift/serve.rs
@@ -1,15 +1,15 @@
-//! `holdlift serve`: a node.
+//! `holdlift serve`: runs a node.
 
 use tokio::runtime::{Builder, LocalOptions};
 
-use super::{Ended, Told};
+use super::{CommandResult, GlobalOptions};
 
-pub fn run(told: &Told) -> Ended {
-    let (config, settings, edge, tiers) = told.read()?;
-    let fleet = told.fleet(&tiers, &settings)?;
+pub fn run(options: &GlobalOptions) -> CommandResult {
+    let (config, settings, edge, tiers) = options.read_node_files()?;
+    let fleet = options.read_fleet(&tiers, &settings)?;
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default())?;
-    // The node is a task among its tasks: whatever wakes what `block_on` itself waits for costs a write to the reactor's
-    // own descriptor and a look at the reactor more, each time.
+    // The node runs as a spawned task: each wake-up of the future that `block_on` itself polls costs an extra write to the
+    // reactor's own descriptor and an extra poll of the reactor.
     let node = runtime.spawn_local(holdlift::runtime::run(config, settings, edge, tiers, fleet));
     runtime.block_on(node)?
 }
--- a/src/bin/holdlift/tiers.rs
+++ b/src/bin/holdlift/tiers.rs
@@ -1,9 +1,9 @@
-//! `holdlift tiers`: the tiers below and each class's plan.
+//! `holdlift tiers`: prints the downstream tiers and each class's call plan.
 
-use super::{Ended, Told};
+use super::{CommandResult, GlobalOptions};
 
-pub fn run(told: &Told) -> Ended {
-    let (_, _, _, tiers) = told.read()?;
+pub fn run(options: &GlobalOptions) -> CommandResult {
+    let (_, _, _, tiers) = options.read_node_files()?;
     print!("{tiers}");
     Ok(())
 }
--- a/src/config/coap.rs
+++ b/src/config/coap.rs
@@ -1,4 +1,4 @@
-//! The CoAP front, as the operator's file of the edge sets it.
+//! The CoAP front's settings: table `[coap]` of the operator's edge file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,51 +9,51 @@
 use super::doc::{Doc, few};
 use crate::interface::Settings;
 
-/// `[coap]`.
+/// The table `[coap]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CoapConfig {
-    /// Where devices send to.
+    /// UDP address that devices send to.
     #[serde(deserialize_with = "address")]
     pub listen: SocketAddr,
-    /// Paths that stand for a class of another name.
+    /// Request paths, each with the name of the class it maps to.
     #[serde(default)]
     pub classes: BTreeMap<String, String>,
-    /// Which parts of the query say what.
+    /// Query parameters that carry request attributes.
     #[serde(default)]
     pub query: QueryNames,
-    /// How long after a start writes are turned away, ms: a duplicate of one that the process before took in may still come,
-    /// and would run again. 0 where no device sends a message twice across a restart.
+    /// Time after a start during which writes are refused, ms. A duplicate of a write that the previous process accepted may
+    /// still arrive and would run again. 0 is safe where no device retransmits a message across a restart.
     #[serde(default = "quiet_ms")]
     pub quiet_ms: u64,
-    /// Exchanges known at a time; each stays for 247 s at the most.
+    /// Limit on remembered exchanges; each is kept for at most 247 s.
     #[serde(default = "exchanges")]
     pub exchanges: usize,
-    /// Open requests of one peer.
+    /// Limit on open requests of one peer.
     #[serde(default = "peer_requests")]
     pub peer_requests: usize,
-    /// Bytes of a body.
+    /// Limit on the size of a body, bytes.
     #[serde(default = "body_bytes")]
     pub body_bytes: usize,
-    /// Bytes of all half uploads.
+    /// Limit on all incomplete uploads together, bytes.
     #[serde(default = "uploads_bytes")]
     pub uploads_bytes: usize,
-    /// Bytes of all results that wait to be fetched.
+    /// Limit on all results that wait to be fetched, bytes.
     #[serde(default = "results_bytes")]
     pub results_bytes: usize,
 }
 
-/// Names in the query; those left out are not looked for.
+/// Names of query parameters; an attribute without a name is not read from the query.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct QueryNames {
-    /// The tenant.
+    /// Parameter that names the tenant.
     pub tenant: Option<String>,
-    /// The rank, 0 to under 1.
+    /// Parameter with the rank, from 0 to below 1.
     pub rank: Option<String>,
-    /// The work to expect, ms on one core.
+    /// Parameter with the expected work, ms on one core.
     pub effort: Option<String>,
-    /// What a read is about.
+    /// Parameter with the key that a read refers to.
     pub key: Option<String>,
 }
 
@@ -88,11 +88,16 @@
 }
 
 impl CoapConfig {
-    /// Checks what the types leave open.
+    /// Checks paths, class names and ranges; `held_request_bytes` is the memory reserved for a held request.
     ///
     /// # Errors
-    /// What is wrong, in which line, and what would be right.
-    pub(super) fn check(&self, doc: &Doc, settings: &Settings, room: usize) -> Result<(), ConfigError> {
+    /// The first invalid value, with its line and what is allowed.
+    pub(super) fn check(
+        &self,
+        doc: &Doc,
+        settings: &Settings,
+        held_request_bytes: usize,
+    ) -> Result<(), ConfigError> {
         for (path, class) in &self.classes {
             let at = ["coap", "classes", path.as_str()];
             if !path.starts_with('/') {
@@ -107,7 +112,7 @@
         let ranges = [
             ("exchanges", self.exchanges, 64, 4 << 20),
             ("peer_requests", self.peer_requests, 1, 1_000),
-            ("body_bytes", self.body_bytes, 64, room),
+            ("body_bytes", self.body_bytes, 64, held_request_bytes),
             ("uploads_bytes", self.uploads_bytes, self.body_bytes, 1 << 30),
             ("results_bytes", self.results_bytes, 64 << 10, 1 << 30),
         ];
--- a/src/config/doc.rs
+++ b/src/config/doc.rs
@@ -1,4 +1,4 @@
-//! An operator's TOML file: read into types, with the line of each value at hand for what is wrong with it.
+//! An operator's TOML file: deserializes it and finds the line of a value for error messages.
 
 use std::path::{Path, PathBuf};
 
@@ -7,24 +7,24 @@
 
 use super::{ConfigError, read_text};
 
-/// Names that a message lists at the most.
+/// Limit on the names that one message lists.
 const NAMES_MAX: usize = 8;
 
-/// A few of many names, and how many there are beyond them: no message grows with a site.
+/// Lists the first names and the count of the rest, so that a message doesn't grow with the size of a site.
 pub fn few<'a>(names: impl IntoIterator<Item = &'a str>) -> String {
     let mut names = names.into_iter();
-    let mut said = names.by_ref().take(NAMES_MAX).collect::<Vec<_>>().join(", ");
+    let mut listed = names.by_ref().take(NAMES_MAX).collect::<Vec<_>>().join(", ");
     let more = names.count();
     if more > 0 {
-        said.push_str(&format!(" and {more} more"));
+        listed.push_str(&format!(" and {more} more"));
     }
-    said
+    listed
 }
 
-/// One file.
+/// The text of one TOML file.
 #[derive(Clone, Debug)]
 pub struct Doc {
-    /// Where it is.
+    /// Path of the file, for messages.
     pub path: PathBuf,
     text: String,
 }
@@ -33,20 +33,20 @@
     /// Reads the file.
     ///
     /// # Errors
-    /// The system's reason.
+    /// The operating system's error, where the file can't be read.
     pub fn open(path: &Path) -> Result<Doc, ConfigError> {
         Ok(Doc { path: path.to_owned(), text: read_text(path)? })
     }
 
-    /// A file's text under a name.
+    /// Wraps text that is already in memory; messages show `path` as its name.
     pub fn of(path: &Path, text: &str) -> Doc {
         Doc { path: path.to_owned(), text: text.to_owned() }
     }
 
-    /// Reads it into a type.
+    /// Deserializes the file.
     ///
     /// # Errors
-    /// What the type does not allow, with its line.
+    /// A syntax error, or a value that the type does not allow, with its line.
     pub fn read<T: DeserializeOwned>(&self) -> Result<T, ConfigError> {
         toml::from_str(&self.text).map_err(|e| {
             let at = e.span().map_or(0, |s| s.start);
@@ -59,15 +59,15 @@
         1 + before.iter().filter(|b| **b == b'\n').count()
     }
 
-    /// The line on which a value stands, by the names on the way to it; a number counts in a list.
-    pub fn line(&self, way: &[&str]) -> Option<usize> {
+    /// The line of the value at this key path, from 1; within an array, a path segment is an index from 0.
+    pub fn line(&self, key_path: &[&str]) -> Option<usize> {
         let table = DeTable::parse(&self.text).ok()?;
-        let (first, rest) = way.split_first()?;
+        let (first, rest) = key_path.split_first()?;
         let mut value = table.get_ref().get(*first)?;
-        for step in rest {
+        for segment in rest {
             value = match value.get_ref() {
-                DeValue::Table(t) => t.get(*step)?,
-                DeValue::Array(a) => a.get(step.parse::<usize>().ok()?)?,
+                DeValue::Table(t) => t.get(*segment)?,
+                DeValue::Array(a) => a.get(segment.parse::<usize>().ok()?)?,
                 _ => return None,
             };
         }
@@ -78,10 +78,10 @@
         ConfigError::At { path: self.path.display().to_string(), line, reason: reason.replace('\n', "; ") }
     }
 
-    /// The error that a value is; where it is not in the file, the nearest table that should hold it.
-    pub fn bad(&self, way: &[&str], reason: impl AsRef<str>) -> ConfigError {
-        let near = (1..=way.len()).rev().find_map(|n| self.line(&way[..n]));
-        let name = way.join(".");
+    /// An error about the value at this key path. Where the file lacks the value, the line is that of the nearest enclosing table.
+    pub fn bad(&self, key_path: &[&str], reason: impl AsRef<str>) -> ConfigError {
+        let near = (1..=key_path.len()).rev().find_map(|n| self.line(&key_path[..n]));
+        let name = key_path.join(".");
         self.at(near.unwrap_or(1), &format!("{name}: {}", reason.as_ref()))
     }
 }
--- a/src/config/edge.rs
+++ b/src/config/edge.rs
@@ -1,7 +1,7 @@
-//! The operator's file of the edge: which listeners there are, and what is expected of those who come to each.
+//! The operator's edge file: the listeners, and the connection profile that applies to each.
 //!
-//! Without such a file there are the platform's listener and, where its file is given, the uwsgi front's, both under
-//! the `strict` profile, and the door's limits follow from the node's memory and descriptors.
+//! Without the file there are the platform's listener and, where its file is given, the uwsgi front's. Both use the
+//! `strict` profile, and the admission limits follow from the node's memory and descriptors.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,19 +21,19 @@
 use crate::front::uwsgi::UwsgiConfig;
 use crate::interface::Settings;
 
-/// Descriptors that this side needs whatever its limit: streams of the process, the runtime's and the signals', listeners,
-/// and links to the other parties as they are made anew. A quarter of very few descriptors is less.
-const OWN: usize = 28;
-/// Descriptors kept from connections that stay, for those that come and go: a newcomer is taken in before the one
-/// that makes room for it has closed.
+/// Descriptors that the process itself needs whatever its limit: standard streams, the runtime's and the signals',
+/// listeners, and links to other services while they reconnect. With a low limit, a quarter of the descriptors is less.
+const RESERVED_DESCRIPTORS: usize = 28;
+/// Descriptors per listener beyond its connection limit: a new connection is accepted before the connection that is
+/// evicted for it has closed.
 pub const SPARE: usize = 16;
-/// Listeners in a file: more are a mistake.
+/// Limit on the listeners in a file; more are taken as a mistake.
 const LISTENERS_MAX: usize = 32;
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
-    /// The uwsgi front's file, by a path that starts at this one.
+    /// The uwsgi front's file; a relative path starts at the folder of this file.
     uwsgi: Option<PathBuf>,
     #[serde(default)]
     limits: BTreeMap<String, toml::Value>,
@@ -66,22 +66,22 @@
     Uwsgi,
 }
 
-/// The door's limits, where the file sets them.
+/// Admission limits that the file sets; `None` where it leaves one out.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// Bytes half in, KiB.
+    /// Partially received messages of all connections, KiB.
     pub half_in_kb: Option<f64>,
-    /// Bytes owed to peers, KiB.
+    /// Unsent replies of all connections, KiB.
     pub owed_kb: Option<f64>,
-    /// Connections of one source.
+    /// Open connections of one source.
     pub source_connections: Option<f64>,
-    /// New connections of one source a second.
+    /// New connections of one source per second.
     pub source_arrivals: Option<f64>,
-    /// And at once.
+    /// New connections of one source at once.
     pub source_burst: Option<f64>,
-    /// Bits of an IPv4 address.
+    /// Leading bits of an IPv4 address that identify a source.
     pub source_prefix_v4: Option<f64>,
-    /// Bits of an IPv6 address.
+    /// Leading bits of an IPv6 address that identify a source.
     pub source_prefix_v6: Option<f64>,
 }
 
@@ -102,7 +102,7 @@
     };
 }
 
-/// The figures of the limits.
+/// The settings of the table `[limits]`.
 pub const LIMITS: &[Knob<Limits>] = &[
     limit!(half_in_kb, "KiB", 64.0..=16_777_216.0, "bytes half in, all connections; an eighth of the memory"),
     limit!(
@@ -123,40 +123,40 @@
 pub struct Listener {
     /// Its name in logs and counters.
     pub name: String,
-    /// Its front.
+    /// Protocol of its front.
     pub wire: Wire,
-    /// Where.
+    /// Address that it listens on.
     pub listen: SocketAddr,
-    /// The profile's name.
+    /// Name of the profile.
     pub profile_name: String,
-    /// The profile.
+    /// Timeouts and pace that apply to its connections.
     pub profile: Profile,
-    /// Connections at a time; without a figure they follow from the node's descriptors.
+    /// Limit on open connections; `None` derives it from the node's descriptors.
     pub connections: Option<usize>,
 }
 
-/// The edge as it is to be.
+/// The checked settings of the edge.
 #[derive(Clone, Debug, Default)]
 pub struct Edge {
-    /// The file, where there is one.
+    /// The edge file, where one is given.
     pub doc: Option<Doc>,
-    /// The limits.
+    /// The admission limits that the file sets.
     pub limits: Limits,
-    /// The profiles by name, `strict` and `patient` among them where they are used.
+    /// The profiles by name, with the built-in `strict` and `patient` where an edge file is given.
     pub profiles: BTreeMap<String, Profile>,
-    /// Listeners of the file, and the uwsgi front's own; the platform's is not among them.
+    /// Listeners of the file, and the uwsgi front's own; the platform's listener is not included.
     pub listeners: Vec<Listener>,
-    /// The uwsgi front.
+    /// The uwsgi front's settings, where it is in use.
     pub uwsgi: Option<UwsgiConfig>,
-    /// The CoAP front.
+    /// The CoAP front's settings, where it is in use.
     pub coap: Option<CoapConfig>,
 }
 
 impl Edge {
-    /// What the files say, one or both or none of them.
+    /// Loads the edge file and the uwsgi front's file; each is optional.
     ///
     /// # Errors
-    /// What is wrong, in which file and line, and what would be right.
+    /// The first invalid value, with its file and line and what is allowed.
     pub fn load(
         edge: Option<&Path>,
         uwsgi: Option<&Path>,
@@ -165,21 +165,21 @@
     ) -> Result<Edge, ConfigError> {
         let doc = edge.map(Doc::open).transpose()?;
         let file: Option<File> = doc.as_ref().map(Doc::read).transpose()?;
-        let named = file
+        let referenced = file
             .as_ref()
             .and_then(|f| f.uwsgi.as_ref())
             .map(|p| edge.and_then(Path::parent).unwrap_or(Path::new("")).join(p));
-        let uwsgi = uwsgi.map(Path::to_owned).or(named);
+        let uwsgi = uwsgi.map(Path::to_owned).or(referenced);
         let uwsgi = uwsgi.map(|path| UwsgiConfig::load(&path, settings)).transpose()?;
-        let mut all = Edge { uwsgi, ..Edge::default() };
+        let mut loaded = Edge { uwsgi, ..Edge::default() };
         if let (Some(doc), Some(mut file)) = (&doc, file) {
-            all.coap = file.coap.take();
-            all.check_coap(doc, settings)?;
-            all.take(doc, file)?;
+            loaded.coap = file.coap.take();
+            loaded.check_coap(doc, settings)?;
+            loaded.apply_file(doc, file)?;
         }
         let listed = |l: &[Listener], at| l.iter().any(|l| l.listen == at);
-        if let Some(u) = all.uwsgi.as_ref().filter(|u| !listed(&all.listeners, u.listen)) {
-            all.listeners.push(Listener {
+        if let Some(u) = loaded.uwsgi.as_ref().filter(|u| !listed(&loaded.listeners, u.listen)) {
+            loaded.listeners.push(Listener {
                 name: "uwsgi".to_owned(),
                 wire: Wire::Uwsgi,
                 listen: u.listen,
@@ -188,9 +188,9 @@
                 connections: Some(u.limits.connections.min(config.limits.sockets / 8).max(1)),
             });
         }
-        all.doc = doc;
-        all.check_room(config)?;
-        Ok(all)
+        loaded.doc = doc;
+        loaded.check_descriptors(config)?;
+        Ok(loaded)
     }
 
     fn check_coap(&self, doc: &Doc, settings: &Settings) -> Result<(), ConfigError> {
@@ -199,11 +199,11 @@
             let reason = "needs the uwsgi front's file, whose servers do its work; set uwsgi = \"uwsgi.toml\" at the top";
             return Err(doc.bad(&["coap"], reason));
         };
-        // A held request costs no more than what is booked for it.
+        // A held request must fit into the memory that is reserved for it.
         coap.check(doc, settings, (u.limits.room_kb * 1024.0) as usize)
     }
 
-    fn take(&mut self, doc: &Doc, file: File) -> Result<(), ConfigError> {
+    fn apply_file(&mut self, doc: &Doc, file: File) -> Result<(), ConfigError> {
         knobs::apply(doc, &["limits"], &file.limits, LIMITS, &mut self.limits)?;
         if self.limits.source_burst.is_some() && self.limits.source_arrivals.is_none() {
             return Err(
@@ -215,7 +215,7 @@
             ("patient".to_owned(), Profile::PATIENT),
         ]);
         for (name, mut values) in file.profiles {
-            let way = ["profiles", name.as_str()];
+            let key_path = ["profiles", name.as_str()];
             let base = match values.remove("base") {
                 None => Profile::PATIENT,
                 Some(toml::Value::String(b)) if b == "strict" => Profile::STRICT,
@@ -226,10 +226,12 @@
                 }
             };
             if name == "strict" {
-                return Err(doc.bad(&way, "is the platform's own and stays as it is; choose another name"));
+                return Err(
+                    doc.bad(&key_path, "is the platform's own and stays as it is; choose another name")
+                );
             }
             let mut profile = base;
-            knobs::apply(doc, &way, &values, knobs::PROFILE, &mut profile)?;
+            knobs::apply(doc, &key_path, &values, knobs::PROFILE, &mut profile)?;
             if let Pace::Progress(p) = &mut profile.pace
                 && p.burst < p.grace
             {
@@ -245,12 +247,12 @@
             return Err(doc.bad(&["listeners"], format!("there may be {LISTENERS_MAX} at most")));
         }
         for (i, l) in file.listeners.into_iter().enumerate() {
-            self.listener(doc, &i.to_string(), l)?;
+            self.add_listener(doc, &i.to_string(), l)?;
         }
         Ok(())
     }
 
-    fn listener(&mut self, doc: &Doc, i: &str, l: ListenerFile) -> Result<(), ConfigError> {
+    fn add_listener(&mut self, doc: &Doc, i: &str, l: ListenerFile) -> Result<(), ConfigError> {
         let at = |key| ["listeners", i, key];
         let Ok(listen) = l.listen.parse::<SocketAddr>() else {
             let reason = format!(
@@ -282,7 +284,7 @@
                 let reason = "needs the uwsgi front's file; set uwsgi = \"uwsgi.toml\" at the top";
                 return Err(doc.bad(&at("front"), reason));
             };
-            // A half-read request costs no more than a held one.
+            // A partially received request must not use more memory than is reserved for a held one.
             let (most, room) = (u.half_in(), (u.limits.room_kb * 1024.0) as usize);
             if matches!(profile.pace, Pace::Progress(_)) && most > room {
                 let reason = format!(
@@ -304,8 +306,8 @@
         Ok(())
     }
 
-    /// An eighth of the descriptors is left for what this side opens.
-    fn check_room(&self, config: &Config) -> Result<(), ConfigError> {
+    /// Checks that the listeners leave an eighth of the descriptors for sockets that this process opens.
+    fn check_descriptors(&self, config: &Config) -> Result<(), ConfigError> {
         let Some(doc) = &self.doc else { return Ok(()) };
         let sockets = config.limits.sockets;
         let most = (sockets * 7 / 8).saturating_sub(SPARE * (self.listeners.len() + 1) + 1);
@@ -323,16 +325,18 @@
         Ok(())
     }
 
-    /// Connections of callers at a time, `OWN` left free at the least. They open at most half of the descriptors, and others come on top; a quarter
-    /// is left for what this side opens, and an eighth, or what their listeners ask for, for others where there are any.
+    /// Limit on open connections of callers; at least [`RESERVED_DESCRIPTORS`] stay free. Callers open at most half of the
+    /// descriptors, and other peers add to that. A quarter is left for sockets that this process opens. Where there are
+    /// other listeners, they get an eighth, or as many as they ask for.
     pub fn caller_room(&self, sockets: usize) -> usize {
         let asked: usize = self.listeners.iter().map(|l| l.connections.unwrap_or(0) + SPARE).sum();
         let others = if self.listeners.is_empty() { 0 } else { sockets / 8 };
-        let left = (sockets * 7 / 8).saturating_sub(asked).min(sockets.saturating_sub(OWN));
-        (sockets * 3 / 4).saturating_sub(others).min(left).saturating_sub(SPARE).max(1)
+        let unreserved =
+            (sockets * 7 / 8).saturating_sub(asked).min(sockets.saturating_sub(RESERVED_DESCRIPTORS));
+        (sockets * 3 / 4).saturating_sub(others).min(unreserved).saturating_sub(SPARE).max(1)
     }
 
-    /// What the door is to work with: the platform's gate, then the others in their order.
+    /// The admission settings: the platform's listener first, then the others in file order.
     pub fn door(&self, config: &Config) -> AdmissionSettings {
         let memory = (config.limits.memory_mb << 20) as usize;
         let callers = ListenerSettings {
@@ -340,7 +344,7 @@
             connections_max: self.caller_room(config.limits.sockets),
             partial_message_max: 2 * FRAME_MAX,
         };
-        let gate = |l: &Listener| ListenerSettings {
+        let listener_settings = |l: &Listener| ListenerSettings {
             profile: l.profile,
             connections_max: l.connections.unwrap_or(1),
             partial_message_max: match (&self.uwsgi, l.wire) {
@@ -348,13 +352,13 @@
                 _ => 2 * FRAME_MAX,
             },
         };
-        let gates: Vec<ListenerSettings> =
-            std::iter::once(callers).chain(self.listeners.iter().map(gate)).collect();
+        let listeners: Vec<ListenerSettings> =
+            std::iter::once(callers).chain(self.listeners.iter().map(listener_settings)).collect();
         let l = &self.limits;
         let bytes = |kb: Option<f64>, or: usize| kb.map_or(or, |kb| (kb * 1024.0) as usize);
-        let largest = gates.iter().map(|g| g.partial_message_max).max().unwrap_or(0);
+        let largest = listeners.iter().map(|l| l.partial_message_max).max().unwrap_or(0);
         AdmissionSettings {
-            // The eldest message must always have room to become whole.
+            // The oldest message must always have room to arrive completely.
             partial_bytes_max: bytes(l.half_in_kb, memory / 8).max(2 * largest),
             unsent_bytes_max: bytes(l.owed_kb, memory / 4),
             sources: SourceLimits {
@@ -363,7 +367,7 @@
                 prefix_v4: l.source_prefix_v4.map_or(32, |b| b as u8),
                 prefix_v6: l.source_prefix_v6.map_or(64, |b| b as u8),
             },
-            listeners: gates,
+            listeners,
         }
     }
 }
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -1,6 +1,7 @@
-//! The operators' file of the fleet: who keeps its book, what is budgeted, and where this process stands.
+//! The operators' fleet file: the replicas of the budget ledger, the budgets, and this process's place in the fleet.
 //!
-//! Nodes and keepers read the same file; only `[here]` differs. Without it a process knows of no fleet.
+//! Nodes and replicas read the same file; only `[here]` differs. Without it a process runs outside any fleet.
+//! The file's table `[keepers]` lists the replicas.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,8 +19,8 @@
 use crate::fleet::{BUDGETS_MAX, Budget, BudgetKind, CapacityScope, LeaseBounds, NAME_MAX};
 use crate::interface::{Micros, Settings, TenantId};
 
-/// Keepers: an even number bears no more losses than one less, and more than five are only slower.
-const KEEPERS: [usize; 3] = [1, 3, 5];
+/// Allowed replica counts: an even count tolerates no more failures than one less, and more than five are only slower.
+const REPLICA_COUNTS: [usize; 3] = [1, 3, 5];
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -136,82 +137,82 @@
     2_500.0
 }
 
-/// How the configuration that the keepers hold comes to the nodes. Without it nobody asks for any.
+/// How the configuration that the replicas store reaches the nodes. Without it no node requests any.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spread {
-    /// A node that hears of a newer revision fetches it within this, by its own lot.
+    /// Window within which a node fetches a newer revision, at a random offset of its own.
     pub within: Micros,
-    /// A node that starts waits for the newest revision so long before it takes clients.
+    /// Longest time that a starting node waits for the newest revision before it accepts clients.
     pub start: Micros,
-    /// Nodes and commands that one keeper serves at a time; others are told to come later.
+    /// Nodes and commands that one replica serves at a time; others are told to retry later.
     pub served: usize,
-    /// How a version is tried before all nodes may have it.
+    /// How the canary nodes try a version before all nodes may fetch it.
     pub trial: CanaryPolicy,
 }
 
-/// Where this process stands.
+/// This process's place in the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Here {
-    /// Where a node takes datagrams of the fleet; the port may be 0.
+    /// Address on which a node receives the fleet's datagrams; the port may be 0.
     pub listen: SocketAddr,
     /// Its zone; may be empty.
     pub zone: String,
     /// Its region; may be empty.
     pub region: String,
-    /// Its weight against other nodes, 1 to 1,000.
+    /// Its weight relative to other nodes, 1 to 1,000.
     pub weight: u32,
-    /// Where this process reaches others by name, where that is not where they say they are.
+    /// Addresses by process name, where this process can't use the address that another one advertises.
     pub reach: BTreeMap<String, SocketAddr>,
-    /// For drills: its clock runs at that speed.
+    /// Speed of its clock, for drills; 1.0 outside them.
     pub clock_speed: f64,
 }
 
-/// What is spent from a budget.
+/// What consumes a budget.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Of {
     /// Calls to a tier.
     Tier(String),
-    /// Further tries at a tier that first ones have not earned.
+    /// Retries and hedges at a tier beyond those that first attempts have earned.
     Further(String),
-    /// Requests of a member within its quota.
+    /// Requests of a tenant within its quota.
     Member(String),
 }
 
-/// One budget, and what it is of.
+/// One budget, and what consumes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetBudget {
-    /// What is divided.
+    /// The capacity that is divided among the nodes.
     pub budget: Budget,
-    /// What is spent from it.
+    /// What consumes it.
     pub of: Of,
 }
 
-/// The whole file, checked.
+/// The fleet file, checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// The file.
+    /// Path of the file.
     pub file: PathBuf,
     /// The fleet's name.
     pub name: String,
-    /// What the promise rests on.
+    /// Lease length, clock drift and transit time that lease safety depends on.
     pub bounds: LeaseBounds,
-    /// This process.
+    /// This process's place in the fleet.
     pub here: Here,
-    /// Where the keepers are, by name: the same for all, and where they take datagrams and streams alike.
+    /// Addresses of the replicas by name, the same in every process; each serves datagrams and streams alike.
     pub keepers: BTreeMap<String, SocketAddr>,
     /// The budgets, by name.
     pub budgets: Vec<FleetBudget>,
-    /// The zones, where the fleet leaves them and returns as one.
+    /// The zones, where the fleet takes them out of service and returns them as one.
     pub zones: Option<Zones>,
-    /// How the agreed configuration comes to the nodes, where it does.
+    /// How the agreed configuration reaches the nodes; `None` where it is off.
     pub catalog: Option<Spread>,
 }
 
 impl Fleet {
-    /// Reads the file. What it names of a node's tiers and members has to be there; a keeper knows of neither.
+    /// Reads the file. On a node, the tiers and tenants that it names must exist; a replica has neither and passes `None`.
     ///
     /// # Errors
-    /// What is wrong, with file and line, and what would be right.
+    /// The first invalid value, with its file and line and what is allowed.
     pub fn load(path: &Path, node: Option<(&Tiers, &Settings)>) -> Result<Fleet, ConfigError> {
         Fleet::read(&Doc::open(path)?, node)
     }
@@ -223,18 +224,18 @@
         within(doc, &["fleet", "lease_ms"], f.lease_ms, 200.0, 600_000.0, "ms")?;
         within(doc, &["fleet", "drift"], f.drift, 0.0, 0.2, "as a share")?;
         within(doc, &["fleet", "transit_ms"], f.transit_ms, 2.0, 60_000.0, "ms")?;
-        if !KEEPERS.contains(&file.keepers.len()) {
+        if !REPLICA_COUNTS.contains(&file.keepers.len()) {
             let n = file.keepers.len();
             return Err(doc.bad(&["keepers"], format!("{n} keepers; right would be 1, 3 or 5")));
         }
-        let mut keepers = BTreeMap::new();
+        let mut replicas = BTreeMap::new();
         for (name, at) in &file.keepers {
             named(doc, &["keepers", name], name)?;
             let at = address(doc, &["keepers", name], at)?;
-            if keepers.values().any(|k| *k == at) {
+            if replicas.values().any(|other| *other == at) {
                 return Err(doc.bad(&["keepers", name], format!("{at} is another keeper's")));
             }
-            keepers.insert(name.clone(), at);
+            replicas.insert(name.clone(), at);
         }
         let zones = file.zones.as_ref().map(|z| Zones::read(doc, z, f.transit_ms)).transpose()?;
         let returns = zones.as_ref().map_or(0, |z| z.bears.len());
@@ -254,20 +255,20 @@
             name: f.name.clone(),
             bounds: LeaseBounds { lease_duration: ms(f.lease_ms), drift: f.drift, transit: ms(f.transit_ms) },
             here: here(doc, &file.here)?,
-            keepers,
+            keepers: replicas,
             budgets,
             zones,
             catalog: file.catalog.as_ref().map(|c| spread(doc, c)).transpose()?,
         })
     }
 
-    /// All that is divided: the budgets, then those of the zones' returns.
+    /// All budgets that are divided: those of the file, then one per zone for its return to service.
     pub fn divided(&self) -> Vec<Budget> {
         let returns = self.zones.iter().flat_map(Zones::budgets);
         self.budgets.iter().map(|b| b.budget.clone()).chain(returns).collect()
     }
 
-    /// For each tier the zones of its endpoints, and for each zone the place of its return's budget; nothing without zones.
+    /// For each tier the zones of its endpoints, and for each zone the index of its return budget; `None` without zones.
     pub fn routes(&self, tiers: &Tiers) -> Option<ZoneIndex> {
         let zones = &self.zones.as_ref()?.judged.zones;
         let place = |name: &String| zones.iter().position(|z| z == name);
@@ -276,7 +277,7 @@
         Some(ZoneIndex { endpoint_zones: of, recovery_budgets: returns })
     }
 
-    /// For each tier what its calls are spent from.
+    /// For each tier the indexes of the budgets that its calls and retries consume.
     pub fn by_tier(&self, tiers: &Tiers) -> Vec<TierQuota> {
         let places = |of: Of| self.places(&of).collect();
         let all = tiers.plans.tiers.iter().map(|t| &t.name);
@@ -287,7 +288,7 @@
         .collect()
     }
 
-    /// For each member of the settings that has one, the budget of its quota.
+    /// For each tenant of the settings with a quota budget, the index of that budget.
     pub fn by_member(&self, settings: &Settings) -> HashMap<TenantId, usize> {
         let mut all = HashMap::new();
         for (place, b) in self.budgets.iter().enumerate() {
@@ -338,7 +339,7 @@
     within(doc, &["catalog", "first"], f64::from(c.first), 1.0, 64.0, "nodes")?;
     within(doc, &["catalog", "bad"], f64::from(c.bad), 1.0, f64::from(c.first), "of those that go first")?;
     within(doc, &["catalog", "hold_ms"], c.hold_ms, 0.0, 600_000.0, "ms")?;
-    // Nodes speak once a second at the least, and a word or two may be lost.
+    // Nodes report at least once a second, and one or two reports may be lost.
     within(doc, &["catalog", "patience_ms"], c.patience_ms, 2_000.0, 600_000.0, "ms")?;
     let trial = CanaryPolicy {
         max_canaries: c.first as usize,
@@ -385,15 +386,15 @@
     let at = |key| ["budgets", name, key];
     named(doc, &["budgets", name], name)?;
     if let Some((tiers, settings)) = node {
-        let unknown = |key, said: &str, known| {
-            Err(doc.bad(&at(key), format!("there is no {key} \"{said}\"; there are: {known}")))
+        let unknown = |key, name: &str, known| {
+            Err(doc.bad(&at(key), format!("there is no {key} \"{name}\"; there are: {known}")))
         };
         let tiers = &tiers.plans.tiers;
-        if let Some(said) = b.tier.as_deref().filter(|s| tiers.iter().all(|t| t.name != *s)) {
-            return unknown("tier", said, few(tiers.iter().map(|t| t.name.as_str())));
+        if let Some(name) = b.tier.as_deref().filter(|s| tiers.iter().all(|t| t.name != *s)) {
+            return unknown("tier", name, few(tiers.iter().map(|t| t.name.as_str())));
         }
-        if let Some(said) = b.member.as_deref().filter(|s| settings.tenant(s).is_none()) {
-            return unknown("member", said, few(settings.tenants.iter().map(|t| t.name.as_str())));
+        if let Some(name) = b.member.as_deref().filter(|s| settings.tenant(s).is_none()) {
+            return unknown("member", name, few(settings.tenants.iter().map(|t| t.name.as_str())));
         }
     }
     let of = match (&b.tier, &b.member) {
@@ -405,7 +406,7 @@
         }
         _ => return Err(doc.bad(&["budgets", name], "must be of either a tier or a member")),
     };
-    let (whole, kind) = match (b.slots, b.starts.xor(b.further)) {
+    let (capacity, kind) = match (b.slots, b.starts.xor(b.further)) {
         (Some(slots), None) if b.starts.is_none() => {
             let Some(longest) = b.longest_ms else {
                 let reason = "is missing: the longest that a call runs below, ms, from its spending";
@@ -432,10 +433,10 @@
         (None, Some(_)) => "starts",
         (None, None) => "further",
     };
-    within(doc, &at(key), f64::from(whole), 0.0, 1e6, "over all nodes")?;
-    within(doc, &at("floor"), f64::from(b.floor), 0.0, f64::from(whole), "for each node")?;
+    within(doc, &at(key), f64::from(capacity), 0.0, 1e6, "over all nodes")?;
+    within(doc, &at("floor"), f64::from(b.floor), 0.0, f64::from(capacity), "for each node")?;
     let scope = if b.by_zone { CapacityScope::Zones } else { CapacityScope::Fixed };
-    let budget = Budget { name: name.to_owned(), kind, capacity: whole, min_share: b.floor, scope };
+    let budget = Budget { name: name.to_owned(), kind, capacity, min_share: b.floor, scope };
     Ok(FleetBudget { budget, of })
 }
 
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -7,31 +7,32 @@
 }
 
 #[test]
-fn the_shipped_file_is_good() {
-    let fleet = read(GOOD).expect("good");
+fn the_shipped_fleet_file_is_valid() {
+    let fleet = read(GOOD).expect("the shipped fleet file is valid");
     assert_eq!(fleet.keepers.len(), 3);
     assert_eq!(fleet.budgets.len(), 4);
 }
 
-/// The table of the agreed configuration is off in the shipped file; as it stands there it is good, and its bounds hold.
+/// `[catalog]` is commented out in the shipped file. Uncommented, it is valid and equals the defaults, and values outside
+/// the allowed ranges are refused with their line.
 #[test]
-fn the_table_of_the_configuration() {
-    assert_eq!(read(GOOD).expect("good").catalog, None);
+fn the_catalog_table_has_defaults_and_refuses_values_out_of_range() {
+    assert_eq!(read(GOOD).expect("the shipped fleet file is valid").catalog, None);
     let on = GOOD.replace("# [catalog]", "[catalog]").replace("# spread_ms", "spread_ms");
     let on = on.replace("# start_ms", "start_ms").replace("# served", "served");
     let on = on.replace("# first", "first").replace("# bad", "bad").replace("# hold_ms", "hold_ms");
     let on = on.replace("# patience_ms", "patience_ms");
-    let told = Spread {
+    let defaults = Spread {
         within: Micros::from_millis(1_000),
         start: Micros::from_millis(3_000),
         served: 32,
         trial: CanaryPolicy::default(),
     };
-    assert_eq!(read(&on).expect("good").catalog, Some(told));
+    assert_eq!(read(&on).expect("the file with [catalog] uncommented is valid").catalog, Some(defaults));
     assert_eq!(
-        read(&format!("{GOOD}\n[catalog]\n")).expect("good").catalog,
-        Some(told),
-        "left out it is that"
+        read(&format!("{GOOD}\n[catalog]\n")).expect("an empty [catalog] is valid").catalog,
+        Some(defaults),
+        "an empty [catalog] has the defaults"
     );
     for (from, to) in [
         ("spread_ms = 1000", "spread_ms = -1"),
@@ -44,9 +45,9 @@
         ("patience_ms = 2500 ", "patience_ms = 1999 "),
     ] {
         let bad = on.replacen(from, to, 1);
-        let line = bad.lines().position(|l| l.starts_with(to)).expect("a line") + 1;
-        let said = read(&bad).expect_err(to).to_string();
-        assert!(said.starts_with(&format!("fleet.toml:{line}: ")), "{to}: {said}");
+        let line = bad.lines().position(|l| l.starts_with(to)).expect("the changed line is in the file") + 1;
+        let error = read(&bad).expect_err(to).to_string();
+        assert!(error.starts_with(&format!("fleet.toml:{line}: ")), "{to}: {error}");
     }
 }
 
@@ -78,8 +79,8 @@
     let mut seen = Vec::new();
     for (from, to) in cases {
         assert!(GOOD.contains(from), "{from}");
-        let said = read(&GOOD.replacen(from, to, 1)).expect_err(to);
-        seen.push(format!("{to:?}: {said}"));
+        let error = read(&GOOD.replacen(from, to, 1)).expect_err(to);
+        seen.push(format!("{to:?}: {error}"));
     }
     insta::assert_snapshot!(seen.join("\n"));
 }
--- a/src/config/gather.rs
+++ b/src/config/gather.rs
@@ -1,4 +1,5 @@
-//! The operator's file of the tiers below: calls that are made before a run ([`crate::dependencies::prefetch`]).
+//! The tables `[[gather.CLASS]]` of the operator's tiers file: calls that are made before a run
+//! ([`crate::dependencies::prefetch`]).
 
 use std::sync::Arc;
 
@@ -10,9 +11,9 @@
 use crate::dependencies::call_plan::{CallPlan, CallPlans, Fallback, PrefetchCall};
 use crate::interface::Settings;
 
-/// Share of a call's time that its own tier has where another tier comes behind it.
+/// Share of a call's time that its own tier gets where another tier is a fallback.
 const OWN_SHARE: f64 = 0.6;
-/// Calls of one class: each may go out at once with the others.
+/// Limit on the calls of one class, as all of them may start at the same time.
 const CALLS_MAX: usize = 16;
 
 #[derive(Debug, Deserialize)]
@@ -32,7 +33,7 @@
     send: Option<String>,
 }
 
-/// The run needs time too.
+/// Default share of the time left: the run needs time too.
 fn half() -> f64 {
     0.5
 }
@@ -41,6 +42,7 @@
     true
 }
 
+/// Checks the prefetch calls of one class and adds them to the plans.
 pub(super) fn class(
     doc: &Doc,
     name: &str,
@@ -53,16 +55,16 @@
         return Err(doc.bad(&["gather", name], format!("there may be {CALLS_MAX} calls at most")));
     }
     let deadline = as_ms(settings.classes[id.0].deadline);
-    let (mut all, mut sum, mut stage): (Vec<PrefetchCall>, f64, f64) = (Vec::new(), 0.0, 0.0);
+    let (mut checked, mut earlier_stages, mut stage): (Vec<PrefetchCall>, f64, f64) = (Vec::new(), 0.0, 0.0);
     for (i, c) in calls.into_iter().enumerate() {
         let n = i.to_string();
         let at = |key| ["gather", name, &n, key];
-        let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'_';
-        if c.name.is_empty() || c.name.len() > MOST || !c.name.bytes().all(plain) {
+        let is_name_byte = |b: u8| b.is_ascii_alphanumeric() || b == b'_';
+        if c.name.is_empty() || c.name.len() > MOST || !c.name.bytes().all(is_name_byte) {
             let right = format!("letters, digits and _, {MOST} at the most, as in \"rates\"");
             return Err(doc.bad(&at("name"), format!("\"{}\" names no var; right would be {right}", c.name)));
         }
-        if all.iter().any(|g| g.name.eq_ignore_ascii_case(&c.name)) {
+        if checked.iter().any(|g| g.name.eq_ignore_ascii_case(&c.name)) {
             return Err(doc.bad(&at("name"), format!("\"{}\" is there twice", c.name)));
         }
         let tier = find(doc, &at("tier"), &c.tier, plans)?;
@@ -70,21 +72,22 @@
         if c.beside && i == 0 {
             return Err(doc.bad(&at("beside"), "there is no call before this one; leave it out"));
         }
-        // Calls of one stage take as long as the longest of them; stages add up.
+        // A stage takes as long as its longest call; the stages run one after another.
         let own = c.cap_ms.unwrap_or(0.0);
-        (sum, stage) = if c.beside { (sum, stage.max(own)) } else { (sum + stage, own) };
-        if sum + stage > deadline {
-            let all = sum + stage;
+        (earlier_stages, stage) =
+            if c.beside { (earlier_stages, stage.max(own)) } else { (earlier_stages + stage, own) };
+        if earlier_stages + stage > deadline {
+            let total = earlier_stages + stage;
             let reason =
-                format!("the calls up to here may take {all} ms; the class's deadline is {deadline} ms");
+                format!("the calls up to here may take {total} ms; the class's deadline is {deadline} ms");
             return Err(doc.bad(&at("cap_ms"), reason));
         }
         if c.send.as_deref().is_some_and(str::is_empty) {
             return Err(doc.bad(&at("send"), "names no var; leave it out to send the request's body"));
         }
         let fallback = chain(doc, &at("fallback"), tier, c.fallback, plans)?;
-        let another = fallback.iter().any(|f| matches!(f, Fallback::Tier(_)));
-        let share = if another { OWN_SHARE } else { 1.0 };
+        let has_fallback_tier = fallback.iter().any(|f| matches!(f, Fallback::Tier(_)));
+        let share = if has_fallback_tier { OWN_SHARE } else { 1.0 };
         let call = CallPlan {
             tier,
             time_share: share,
@@ -93,7 +96,7 @@
             has_effect: false,
         };
         let (needed, beside, send) = (c.needed, c.beside, c.send);
-        all.push(PrefetchCall {
+        checked.push(PrefetchCall {
             name: c.name,
             call,
             time_share: c.share,
@@ -103,6 +106,6 @@
             send,
         });
     }
-    plans.prefetch[id.0] = Arc::from(all);
+    plans.prefetch[id.0] = Arc::from(checked);
     Ok(())
 }
--- a/src/config/knobs.rs
+++ b/src/config/knobs.rs
@@ -1,4 +1,5 @@
-//! Settings as figures: each with its unit, range and meaning, in one table that reading, checking and showing share.
+//! Tables of numeric settings. Each entry has a unit, range and meaning, and the same table serves to read, check and
+//! show the settings.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +9,26 @@
 use crate::front::uwsgi::UwsgiConfig;
 use crate::interface::Micros;
 
-/// One figure of a `T`.
+/// One numeric setting of a `T`.
 pub struct Knob<T> {
-    /// Its key, with dots where it stands in a table.
+    /// Its key, with dots where it is in a nested table.
     pub key: &'static str,
     /// Its unit.
     pub unit: &'static str,
-    /// The least that is allowed.
+    /// Least allowed value.
     pub least: f64,
-    /// The most that is allowed.
+    /// Greatest allowed value.
     pub most: f64,
-    /// What it is.
+    /// Its meaning, for messages.
     pub what: &'static str,
-    /// Its value, where it applies.
+    /// Reads it; `None` where it does not apply or is not set.
     pub get: fn(&T) -> Option<f64>,
-    /// Sets it; false where it does not apply.
+    /// Sets it; returns false where it does not apply.
     pub set: fn(&mut T, f64) -> bool,
 }
 
 impl<T> Knob<T> {
-    /// What a value has to be.
+    /// The allowed range with its unit, as messages show it.
     pub fn range(&self) -> String {
         format!("{} to {} {}", self.least, self.most, self.unit).trim_end().to_owned()
     }
@@ -35,7 +36,7 @@
     /// Checks a value against the range.
     ///
     /// # Errors
-    /// What it is and what it has to be.
+    /// The value and the range that it must be in.
     pub fn check(&self, value: f64) -> Result<f64, String> {
         if value.is_finite() && (self.least..=self.most).contains(&value) {
             return Ok(value);
@@ -44,19 +45,19 @@
     }
 }
 
-/// Takes the figures of a table over into a `T`. Keys that no knob has are refused.
+/// Writes the values of a TOML table into a `T`; an unknown key is an error.
 ///
 /// # Errors
-/// The first value that is not what it should be, with its line.
+/// The first unknown key or invalid value, with its line.
 pub fn apply<T>(
     doc: &Doc,
-    way: &[&str],
+    table_path: &[&str],
     values: &BTreeMap<String, toml::Value>,
     knobs: &[Knob<T>],
     to: &mut T,
 ) -> Result<(), ConfigError> {
     for (key, value) in values {
-        let at: Vec<&str> = way.iter().copied().chain([key.as_str()]).collect();
+        let at: Vec<&str> = table_path.iter().copied().chain([key.as_str()]).collect();
         let Some(knob) = knobs.iter().find(|k| k.key == key) else {
             let known: Vec<&str> = knobs.iter().map(|k| k.key).collect();
             return Err(doc.bad(&at, format!("no such setting; there are: {}", known.join(", "))));
@@ -65,8 +66,8 @@
             toml::Value::Integer(n) => *n as f64,
             toml::Value::Float(x) => *x,
             other => {
-                let is = other.type_str();
-                return Err(doc.bad(&at, format!("is a {is}; it must be a number, {}", knob.range())));
+                let found = other.type_str();
+                return Err(doc.bad(&at, format!("is a {found}; it must be a number, {}", knob.range())));
             }
         };
         let number = knob.check(number).map_err(|reason| doc.bad(&at, reason))?;
@@ -85,8 +86,8 @@
     x.0 as f64 / 1e3
 }
 
-/// Sets a figure of a profile that goes by progress.
-fn progress(p: &mut Profile, f: impl FnOnce(&mut Progress)) -> bool {
+/// Changes a profile's progress settings; false where its pace is fixed.
+fn set_progress(p: &mut Profile, f: impl FnOnce(&mut Progress)) -> bool {
     match &mut p.pace {
         Pace::Progress(g) => {
             f(g);
@@ -96,16 +97,18 @@
     }
 }
 
-fn of(p: &Profile, f: impl FnOnce(&Progress) -> f64) -> Option<f64> {
+/// Reads a profile's progress settings; `None` where its pace is fixed.
+fn get_progress(p: &Profile, f: impl FnOnce(&Progress) -> f64) -> Option<f64> {
     match &p.pace {
         Pace::Progress(g) => Some(f(g)),
         Pace::Fixed => None,
     }
 }
 
+/// The profile's liveness settings, set to their defaults first where it has none.
 fn liveness(p: &mut Profile) -> &mut Liveness {
-    let none = Liveness { probe: Micros::from_millis(10_000), timeout: Micros::from_millis(30_000) };
-    p.liveness.get_or_insert(none)
+    let defaults = Liveness { probe: Micros::from_millis(10_000), timeout: Micros::from_millis(30_000) };
+    p.liveness.get_or_insert(defaults)
 }
 
 macro_rules! knob {
@@ -114,55 +117,55 @@
     };
 }
 
-/// The figures of a profile.
+/// The settings of a connection profile.
 pub const PROFILE: &[Knob<Profile>] = &[
     knob!(
         "least_rate",
         "bytes/s",
         1.0..=1e6,
         "below it a message earns no more time",
-        |p| of(p, |g| g.least_rate as f64),
-        |p, x| progress(p, |g| g.least_rate = x as u64)
+        |p| get_progress(p, |g| g.least_rate as f64),
+        |p, x| set_progress(p, |g| g.least_rate = x as u64)
     ),
     knob!(
         "grace_ms",
         "ms",
         100.0..=600_000.0,
         "silence that a message starts with credit for",
-        |p| of(p, |g| as_ms(g.grace)),
-        |p, x| progress(p, |g| g.grace = ms(x))
+        |p| get_progress(p, |g| as_ms(g.grace)),
+        |p, x| set_progress(p, |g| g.grace = ms(x))
     ),
     knob!(
         "burst_ms",
         "ms",
         100.0..=3_600_000.0,
         "longest silence that progress can earn; the grace at least",
-        |p| of(p, |g| as_ms(g.burst)),
-        |p, x| progress(p, |g| g.burst = ms(x))
+        |p| get_progress(p, |g| as_ms(g.burst)),
+        |p, x| set_progress(p, |g| g.burst = ms(x))
     ),
     knob!(
         "longest",
         "x deadline",
         0.1..=100.0,
         "time for one message, as a multiple of its class's deadline",
-        |p| of(p, |g| g.longest),
-        |p, x| progress(p, |g| g.longest = x)
+        |p| get_progress(p, |g| g.longest),
+        |p, x| set_progress(p, |g| g.longest = x)
     ),
     knob!(
         "silence_ms",
         "ms",
         100.0..=600_000.0,
         "time before the first byte",
-        |p| of(p, |g| as_ms(g.silence)),
-        |p, x| progress(p, |g| g.silence = ms(x))
+        |p| get_progress(p, |g| as_ms(g.silence)),
+        |p, x| set_progress(p, |g| g.silence = ms(x))
     ),
     knob!(
         "rest_ms",
         "ms",
         0.0..=30_000.0,
         "longest time between two looks at a slow sender; 0 for none",
-        |p| of(p, |g| as_ms(g.rest)),
-        |p, x| progress(p, |g| g.rest = ms(x))
+        |p| get_progress(p, |g| as_ms(g.rest)),
+        |p, x| set_progress(p, |g| g.rest = ms(x))
     ),
     knob!(
         "stall_ms",
@@ -232,7 +235,7 @@
     ),
 ];
 
-/// The figures of the uwsgi front's file.
+/// The settings of the uwsgi front's file.
 pub const UWSGI: &[Knob<UwsgiConfig>] = &[
     knob!(
         "limits.connections",
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a node when it starts it.
+//! The platform's configuration file, and the operator's files that complete it.
 
 pub mod coap;
 pub mod doc;
@@ -32,33 +32,33 @@
     Read {
         /// The file.
         path: String,
-        /// The system's reason.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file is not what it should be.
+    /// The file is malformed.
     #[error("{path}: {reason}")]
     Parse {
         /// The file.
         path: String,
-        /// What is wrong, with its place where known.
+        /// What is wrong, with its position where known.
         reason: String,
     },
-    /// One value in the file is not what it should be.
+    /// One value in the file is invalid.
     #[error("{path}:{line}: {reason}")]
     At {
         /// The file.
         path: String,
         /// The line, from 1.
         line: usize,
-        /// What is wrong, and what would be right.
+        /// What is wrong, and what is allowed.
         reason: String,
     },
-    /// The module can't work with these settings.
+    /// The decision module rejects these settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// What the program itself may use.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
@@ -77,36 +77,36 @@
 /// The platform's configuration file.
 #[derive(Debug, Deserialize)]
 pub struct Config {
-    /// The node's name, the same after a restart.
+    /// The node's name, which stays the same across restarts.
     pub name: String,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub listen: Option<SocketAddr>,
-    /// The render farm agent.
+    /// Address of the agent that executes runs.
     pub agent: Option<SocketAddr>,
-    /// The directory.
+    /// Address of the directory.
     pub lookup: Option<SocketAddr>,
-    /// The ledger; the last tier has none.
+    /// Address of the ledger; the last tier has none.
     pub ledger: Option<SocketAddr>,
-    /// The control address; without one there is no console.
+    /// Address of the control interface; without one there is none.
     pub console: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of random numbers, in hexadecimal.
     #[serde(default)]
     pub seed: String,
-    /// From SIGTERM to SIGKILL, ms.
+    /// Time from SIGTERM to SIGKILL, ms.
     #[serde(default = "default_stop_ms")]
     pub stop_ms: u64,
     /// The program's own limits.
     #[serde(default)]
     pub limits: Limits,
-    /// The module's settings, until they are taken out.
+    /// The decision module's settings, until they are converted.
     settings: Told,
     /// The names of the agent's gauges.
     #[serde(skip)]
     gauge_names: Vec<String>,
-    /// Whether callers come here.
+    /// Whether callers connect to this node.
     #[serde(skip)]
     is_entry: bool,
-    /// The keys of the whole file.
+    /// All keys of the file.
     #[serde(skip)]
     shape: Arc<Shape>,
 }
@@ -114,9 +114,9 @@
 /// The file, read and checked.
 #[derive(Debug)]
 pub struct Read {
-    /// What a node is told.
+    /// The platform's configuration.
     pub config: Config,
-    /// The module's settings, valid and with their indexes.
+    /// The decision module's settings, validated and indexed.
     pub settings: Settings,
     /// The first key that the file in force has and this one lacks.
     pub lacking: Option<String>,
@@ -126,31 +126,31 @@
     3_000
 }
 
-/// Descriptors that the system gives this process.
+/// The operating system's limit on this process's descriptors.
 fn descriptors() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     limit.and_then(|n| usize::try_from(n).ok()).unwrap_or(usize::MAX)
 }
 
-/// Reads a whole text file.
+/// Reads a text file completely.
 pub(crate) fn read_text(path: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(path)
         .map_err(|source| ConfigError::Read { path: path.display().to_string(), source })
 }
 
 impl Config {
-    /// Reads the file that `PROXY_CONFIG` names; `PROXY_NAME`, `PROXY_LISTEN` and `PROXY_CONSOLE` win over it.
+    /// Reads the file that `PROXY_CONFIG` names; `PROXY_NAME`, `PROXY_LISTEN` and `PROXY_CONSOLE` override it.
     ///
     /// # Errors
-    /// What is missing or wrong, and where.
+    /// What is missing or invalid, and where.
     pub fn from_env() -> Result<(Config, Settings), ConfigError> {
         Config::from_env_over(&Shape::default()).map(|read| (read.config, read.settings))
     }
 
-    /// Reads it again, while one with these keys is in force.
+    /// Reads it again while a file with the keys `in_force` is in use.
     ///
     /// # Errors
-    /// What is missing or wrong, and where.
+    /// What is missing or invalid, and where.
     pub fn from_env_over(in_force: &Shape) -> Result<Read, ConfigError> {
         let path = std::env::var_os("PROXY_CONFIG").ok_or(ConfigError::Missing("PROXY_CONFIG"))?;
         let path = Path::new(&path);
@@ -164,7 +164,7 @@
         if let Ok(name) = std::env::var("PROXY_NAME") {
             config.name = name;
         }
-        // The platform's figure and the system's own: what binds first is what there is to divide.
+        // The lower of the platform's limit and the operating system's is the number of descriptors to divide.
         config.limits.sockets = config.limits.sockets.min(descriptors());
         let address = |name| match std::env::var(name) {
             Ok(at) => at.parse().map(Some).map_err(|_| bad(format!("{name} is no address: '{at}'"))),
@@ -172,28 +172,28 @@
         };
         config.listen = address("PROXY_LISTEN")?.or(config.listen);
         config.console = address("PROXY_CONSOLE")?.or(config.console);
-        let told = std::mem::take(&mut config.settings);
-        (config.gauge_names, config.is_entry) = (told.gauge_names(), told.is_entry());
-        let settings = crate::settings::from_told(told).map_err(bad)?;
+        let raw = std::mem::take(&mut config.settings);
+        (config.gauge_names, config.is_entry) = (raw.gauge_names(), raw.is_entry());
+        let settings = crate::settings::from_raw(raw).map_err(bad)?;
         settings.validate()?;
         settings.build_indexes();
         Ok(Read { config, settings, lacking })
     }
 
-    /// Whether another reading of the file tells of the same node: all that only a restart can change.
+    /// Whether both agree on all values that only a restart can change.
     pub fn same_node(&self, other: &Config) -> bool {
-        let of = |c: &Config| (c.name.clone(), c.listen, c.console, c.limits.memory_mb, c.limits.sockets);
-        of(self) == of(other)
+        let fixed = |c: &Config| (c.name.clone(), c.listen, c.console, c.limits.memory_mb, c.limits.sockets);
+        fixed(self) == fixed(other)
     }
 
-    /// The keys of the whole file, which another one has to have that takes its place.
+    /// All keys of the file; a file that replaces it must have each of them.
     pub fn shape(&self) -> Arc<Shape> {
         self.shape.clone()
     }
 
-    /// Takes over all of another reading of the file that can change under load.
-    pub fn take_over(&mut self, told: Config) {
-        let Config { agent, lookup, ledger, stop_ms, settings, gauge_names, is_entry, shape, .. } = told;
+    /// Replaces all values that can change without a restart by those of a newer reading of the file.
+    pub fn take_over(&mut self, newer: Config) {
+        let Config { agent, lookup, ledger, stop_ms, settings, gauge_names, is_entry, shape, .. } = newer;
         (self.agent, self.lookup, self.ledger, self.stop_ms) = (agent, lookup, ledger, stop_ms);
         (self.settings, self.gauge_names, self.is_entry, self.shape) =
             (settings, gauge_names, is_entry, shape);
@@ -204,17 +204,17 @@
         self.gauge_names.clone()
     }
 
-    /// Whether callers come here, and not a tier above.
+    /// Whether callers connect to this node, rather than an upstream tier.
     pub fn is_entry(&self) -> bool {
         self.is_entry
     }
 
-    /// The seed as a number; any text will do.
+    /// The seed as a number; 0 where it is not hexadecimal.
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or(0)
     }
 
-    /// A number that tells this process from others of its fleet: a platform may give all of them one seed.
+    /// A number that differs between the processes of a fleet, as a platform may give all of them one seed.
     pub fn lot(&self) -> u64 {
         use std::hash::{Hash, Hasher};
         let mut hasher = std::hash::DefaultHasher::new();
--- a/src/config/show.rs
+++ b/src/config/show.rs
@@ -20,9 +20,9 @@
     pub value: String,
     /// Its unit; empty where it has none.
     pub unit: String,
-    /// What it is where nobody sets it.
+    /// Its default value.
     pub default: String,
-    /// Where the value comes from: a file and line, a variable, or `default`.
+    /// Source of the value: a file and line, a variable, or `default`.
     pub source: String,
 }
 
@@ -35,8 +35,8 @@
         let head = ["setting", "value", "unit", "default", "source"].map(str::to_owned);
         let cells = |r: &Row| [&r.name, &r.value, &r.unit, &r.default, &r.source].map(Clone::clone);
         let all: Vec<[String; 5]> = std::iter::once(head).chain(self.0.iter().map(cells)).collect();
-        let wide = |c: usize| all.iter().map(|r| r[c].chars().count()).max().unwrap_or(0);
-        let widths = [wide(0), wide(1), wide(2), wide(3)];
+        let column_width = |c: usize| all.iter().map(|r| r[c].chars().count()).max().unwrap_or(0);
+        let widths = [column_width(0), column_width(1), column_width(2), column_width(3)];
         for row in &all {
             for (cell, width) in row.iter().zip(widths) {
                 write!(f, "{cell:width$}  ")?;
@@ -80,7 +80,7 @@
     }
 }
 
-/// The unit that a name of the platform's ends in.
+/// The unit that the suffix of a platform setting's name tells; empty without one.
 fn unit(name: &str) -> &'static str {
     let ends =
         [("-us", "us"), ("_ms", "ms"), ("-kb", "KB"), ("_mb", "MB"), ("-per-s", "1/s"), ("memory_mb", "MB")];
@@ -102,7 +102,7 @@
     }
 }
 
-/// The settings in force of a node: the platform's file, the edge's and the uwsgi front's.
+/// The settings in force of a node, from the platform's file, the edge file and the uwsgi front's file.
 pub fn rows(config: &Config, edge: &Edge, file: &Path) -> Rows {
     let mut all = Rows::default();
     let json: Value =
@@ -134,21 +134,28 @@
     );
     add("limits.sockets", Some(l.sockets.to_string()), "", Some("1024"), from("/limits/sockets", None));
     flatten(&mut all, "settings", json.get("settings").unwrap_or(&Value::Null), &path);
-    let at =
-        |way: &[&str]| edge.doc.as_ref().and_then(|d| Some(format!("{}:{}", d.path.display(), d.line(way)?)));
+    let at = |key_path: &[&str]| {
+        edge.doc.as_ref().and_then(|d| Some(format!("{}:{}", d.path.display(), d.line(key_path)?)))
+    };
     all.knobs("edge.limits.", LIMITS, &edge.limits, &Limits::default(), |k| at(&["limits", k]));
-    let door = edge.door(config);
+    let admission = edge.door(config);
     all.add(
         "door.half_in".into(),
-        Some(door.partial_bytes_max.to_string()),
+        Some(admission.partial_bytes_max.to_string()),
+        "bytes",
+        None,
+        "in force".into(),
+    );
+    all.add(
+        "door.owed".into(),
+        Some(admission.unsent_bytes_max.to_string()),
         "bytes",
         None,
         "in force".into(),
     );
-    all.add("door.owed".into(), Some(door.unsent_bytes_max.to_string()), "bytes", None, "in force".into());
     all.add(
         "door.callers".into(),
-        Some(door.listeners[0].connections_max.to_string()),
+        Some(admission.listeners[0].connections_max.to_string()),
         "",
         None,
         "in force".into(),
@@ -161,9 +168,9 @@
     }
     for (i, l) in edge.listeners.iter().enumerate() {
         let i = i.to_string();
-        let said = at(&["listeners", &i, "name"]).unwrap_or_else(|| "the uwsgi front's file".to_owned());
+        let source = at(&["listeners", &i, "name"]).unwrap_or_else(|| "the uwsgi front's file".to_owned());
         let value = format!("{:?} {} {} {}", l.wire, l.listen, l.profile_name, l.connections.unwrap_or(0));
-        all.add(format!("listeners.{}", l.name), Some(value), "", None, said);
+        all.add(format!("listeners.{}", l.name), Some(value), "", None, source);
     }
     if let Some(c) = &edge.coap {
         let figures: [(&str, String, &str, Option<u64>); 7] = [
@@ -176,21 +183,21 @@
             ("results_bytes", c.results_bytes.to_string(), "bytes", Some(8 << 20)),
         ];
         for (key, value, unit, default) in figures {
-            let said = at(&["coap", key]).unwrap_or_else(|| "default".to_owned());
-            all.add(format!("coap.{key}"), Some(value), unit, default.map(|d| d.to_string()), said);
+            let source = at(&["coap", key]).unwrap_or_else(|| "default".to_owned());
+            all.add(format!("coap.{key}"), Some(value), unit, default.map(|d| d.to_string()), source);
         }
     }
     if let Some(u) = &edge.uwsgi {
         let line = |key: &str| {
             let doc = u.doc.as_ref()?;
-            let way: Vec<&str> = key.split('.').collect();
-            Some(format!("{}:{}", doc.path.display(), doc.line(&way)?))
+            let key_path: Vec<&str> = key.split('.').collect();
+            Some(format!("{}:{}", doc.path.display(), doc.line(&key_path)?))
         };
         let mut defaults = u.clone();
         (defaults.limits, defaults.timeouts) = Default::default();
         all.knobs::<UwsgiConfig>("uwsgi.", UWSGI, u, &defaults, line);
-        let said = |key: &str| line(key).unwrap_or_else(|| "default".to_owned());
-        all.add("uwsgi.group".into(), Some(u.group.clone()), "", Some("all".into()), said("group"));
+        let source = |key: &str| line(key).unwrap_or_else(|| "default".to_owned());
+        all.add("uwsgi.group".into(), Some(u.group.clone()), "", Some("all".into()), source("group"));
         all.add(
             "uwsgi.hosts".into(),
             Some(u.hosts.len().to_string()),
--- a/src/config/tiers.rs
+++ b/src/config/tiers.rs
@@ -1,6 +1,6 @@
-//! The operator's file of the tiers below: where they are, their limits, and what each class calls.
+//! The operator's tiers file: the downstream tiers' endpoints and limits, and the calls of each class.
 //!
-//! The platform's ledger is always there, as the tier `ledger`; without a file it is the only one and is called as ever.
+//! The platform's ledger is always present as the tier `ledger`. Without a file it is the only tier, with the platform's plan.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -18,9 +18,9 @@
 use crate::dependencies::call_plan::{CallPlan, CallPlans, Fallback, TierId, TierSettings};
 use crate::interface::{ClassId, ClassSettings, Effect, IndexedList, Micros, Settings};
 
-/// The platform's own tier.
+/// Name of the platform's own tier.
 pub const LEDGER: &str = "ledger";
-/// Tiers in a file, endpoints of a tier, calls of a class, steps of a chain: more are a mistake.
+/// Limit on tiers in a file, endpoints of a tier, calls of a class and fallbacks of a call; more are taken as a mistake.
 pub(super) const MOST: usize = 64;
 
 #[derive(Debug, Deserialize)]
@@ -38,14 +38,14 @@
 #[serde(deny_unknown_fields)]
 struct CallFile {
     tier: String,
-    #[serde(default = "whole")]
+    #[serde(default = "full_share")]
     share: f64,
     cap_ms: Option<f64>,
     #[serde(default)]
     fallback: Vec<FallbackFile>,
 }
 
-fn whole() -> f64 {
+fn full_share() -> f64 {
     1.0
 }
 
@@ -71,7 +71,7 @@
     x.0 as f64 / 1e3
 }
 
-/// The figures of a tier.
+/// The settings of a tier.
 #[rustfmt::skip]
 pub const TIER: &[Knob<TierSettings>] = &[
     knob!("limit_start", "calls", 1.0..=1e9, "calls under way at first",
@@ -118,27 +118,27 @@
         |t| Some(as_ms(t.latency_window)), |t, x| { t.latency_window = ms(x); true }),
 ];
 
-/// The tiers and plans in force, and how they are told.
+/// The tiers and call plans in force.
 #[derive(Clone, Debug)]
 pub struct Tiers {
-    /// What the desk works with.
+    /// The plans that calls follow.
     pub plans: CallPlans,
-    /// The file, where there is one.
+    /// The tiers file, where one is given.
     pub file: Option<PathBuf>,
-    /// The settings' classes.
+    /// The classes of the settings that the plans belong to.
     pub classes: IndexedList<ClassSettings>,
 }
 
 impl Tiers {
-    /// What the file says, or the platform's plan without one.
+    /// Loads the file; without one, the platform's plan applies.
     ///
     /// # Errors
-    /// What is wrong, in which line, and what would be right.
+    /// The first invalid value, with its line and what is allowed.
     pub fn load(path: Option<&Path>, config: &Config, settings: &Settings) -> Result<Tiers, ConfigError> {
         Tiers::load_with(path, config.ledger, settings)
     }
 
-    /// The same for a ledger there.
+    /// As [`Tiers::load`], for a ledger at this address.
     ///
     /// # Errors
     /// As [`Tiers::load`].
@@ -152,7 +152,7 @@
             let doc = Doc::open(path)?;
             let file: File = doc.read()?;
             tiers(&doc, file.tiers, &mut plans)?;
-            // Nobody tells a node of the others but the platform's settings, in a number: those who call what it calls.
+            // A node knows how many other nodes call the same tiers only from the platform's settings.
             for t in &mut plans.tiers {
                 (t.slow_start.processes, t.slow_start.process_index) =
                     (settings.replicas.max(1), settings.replica_index);
@@ -166,7 +166,7 @@
                 gather::class(&doc, &name, calls, settings, &mut plans)?;
             }
         }
-        // What is in hand under a class's former settings goes on by the class's plan.
+        // Requests accepted under a class's former settings continue with the class's current plan.
         for (i, c) in settings.classes.iter().enumerate().filter(|(_, c)| c.is_retired) {
             if let (Some(now), false) = (settings.class(&c.name), plans.classes.is_empty()) {
                 plans.classes[i] = plans.classes[now.0].clone();
@@ -176,7 +176,7 @@
         Ok(Tiers { plans, file: path.map(Path::to_owned), classes: settings.classes.clone() })
     }
 
-    /// Whether a class's number means the same class by both, by its name.
+    /// Whether each class index refers to a class of the same name in both.
     pub fn same_classes(&self, other: &Tiers) -> bool {
         let (a, b) = (&self.classes, &other.classes);
         a.is_same_copy(b) || (a.len() == b.len() && a.iter().zip(b).all(|(a, b)| a.name == b.name))
@@ -192,7 +192,7 @@
         return Err(doc.bad(&["tiers"], format!("there may be {MOST} at most")));
     }
     for (name, mut values) in all {
-        let way = ["tiers", name.as_str()];
+        let table_path = ["tiers", name.as_str()];
         let at = ["tiers", name.as_str(), "endpoints"];
         let endpoints = values.remove("endpoints");
         if name == LEDGER && endpoints.is_some() {
@@ -205,9 +205,9 @@
             TierSettings::unlimited(&name, addresses(doc, &at, endpoints)?)
         };
         if let Some(zones) = zones {
-            t.zones = labels(doc, &["tiers", name.as_str(), "zones"], &zones, t.endpoints.len())?;
+            t.zones = endpoint_zones(doc, &["tiers", name.as_str(), "zones"], &zones, t.endpoints.len())?;
         }
-        knobs::apply(doc, &way, &values, TIER, &mut t)?;
+        knobs::apply(doc, &table_path, &values, TIER, &mut t)?;
         let (l, b) = (&t.limit, &t.circuit_breaker);
         let wrong = [
             ("limit_least", l.minimum > l.maximum, format!("is above limit_most ({})", l.maximum)),
@@ -220,7 +220,7 @@
         if let Some((key, _, reason)) = wrong.iter().find(|(key, bad, _)| *bad && values.contains_key(*key)) {
             return Err(doc.bad(&["tiers", &name, key], reason));
         }
-        // Set alone, a bound moves what it bounds.
+        // Where only one bound is set, the values that it bounds move with it.
         t.limit.minimum = if values.contains_key("limit_least") { l.minimum } else { l.maximum.min(1.0) };
         if !values.keys().any(|k| k.starts_with("limit_")) {
             t.limit.minimum = t.limit.maximum;
@@ -233,8 +233,13 @@
     Ok(())
 }
 
-/// The zone of each endpoint.
-fn labels(doc: &Doc, at: &[&str], value: &toml::Value, endpoints: usize) -> Result<Vec<String>, ConfigError> {
+/// Reads the zone of each endpoint.
+fn endpoint_zones(
+    doc: &Doc,
+    at: &[&str],
+    value: &toml::Value,
+    endpoints: usize,
+) -> Result<Vec<String>, ConfigError> {
     let names = value.as_array().map(|l| l.iter().map(|v| v.as_str().map(str::to_owned)).collect());
     match names {
         Some(Some(names)) if Vec::len(&names) == endpoints => Ok(names),
@@ -311,7 +316,7 @@
     Ok(())
 }
 
-/// The class of that name.
+/// Finds the class of that name.
 pub(super) fn class_id(
     doc: &Doc,
     at: &[&str],
@@ -324,7 +329,7 @@
     })
 }
 
-/// A call's longest time, ms: its cap, or the class's deadline. Its share of the time left is checked with it.
+/// A call's time limit, ms: its cap, or else the class's deadline. Also checks its share of the time left.
 pub(super) fn time(
     doc: &Doc,
     (share_at, share): (&[&str], f64),
@@ -342,21 +347,21 @@
     Ok(cap)
 }
 
-/// What is taken where a call's own tier gives nothing, in this order.
+/// Reads the fallbacks for a call whose own tier returns no reply, in the order they are tried.
 pub(super) fn chain(
     doc: &Doc,
-    way: &[&str],
+    key_path: &[&str],
     tier: TierId,
     steps: Vec<FallbackFile>,
     plans: &CallPlans,
 ) -> Result<Vec<Fallback>, ConfigError> {
     if steps.len() > MOST {
-        return Err(doc.bad(way, format!("there may be {MOST} steps at most")));
+        return Err(doc.bad(key_path, format!("there may be {MOST} steps at most")));
     }
     let mut fallback = Vec::new();
     for (n, f) in steps.into_iter().enumerate() {
         let n = n.to_string();
-        let at: Vec<&str> = way.iter().copied().chain([n.as_str()]).collect();
+        let at: Vec<&str> = key_path.iter().copied().chain([n.as_str()]).collect();
         fallback.push(match f {
             FallbackFile::Tier(t) => {
                 let other = find(doc, &at, &t, plans)?;
@@ -376,7 +381,11 @@
     Ok(fallback)
 }
 
-fn then(f: &mut fmt::Formatter<'_>, fallback: &[Fallback], name: &impl Fn(TierId) -> String) -> fmt::Result {
+fn write_fallbacks(
+    f: &mut fmt::Formatter<'_>,
+    fallback: &[Fallback],
+    name: &impl Fn(TierId) -> String,
+) -> fmt::Result {
     for step in fallback {
         match step {
             Fallback::Tier(t) => write!(f, "; then {}", name(*t))?,
@@ -410,7 +419,7 @@
             for (n, c) in calls.iter().enumerate() {
                 write!(f, "{class}, call {}: {}, {} of the time left", n + 1, name(c.tier), c.time_share)?;
                 write!(f, ", {} ms at the most", as_ms(c.time_cap))?;
-                then(f, &c.fallbacks, &name)?;
+                write_fallbacks(f, &c.fallbacks, &name)?;
                 writeln!(f, "{}", if c.has_effect { "; a write, sent once" } else { "" })?;
             }
             for g in self.plans.prefetch(i).map_or(&[][..], |g| g) {
@@ -420,7 +429,7 @@
                 );
                 write!(f, "{class}, before a run: {} ({needed}{beside}): {}", g.name, name(g.call.tier))?;
                 write!(f, ", {} of the time left, {} ms at the most", g.time_share, as_ms(g.time_cap))?;
-                then(f, &g.call.fallbacks, &name)?;
+                write_fallbacks(f, &g.call.fallbacks, &name)?;
                 writeln!(f)?;
             }
             writeln!(
--- a/src/config/zones.rs
+++ b/src/config/zones.rs
@@ -1,6 +1,6 @@
-//! `[zones]` of the fleet's file: which zones there are, what each bears, and how they are left and returned to.
+//! The table `[zones]` of the fleet file: the zones, their capacities, and how they go out of service and return.
 //!
-//! Without it nothing is summed up, decided or asked for, whatever labels nodes and endpoints have.
+//! Without it no zone health is aggregated, decided or requested, whatever zone labels nodes and endpoints have.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 use crate::zone::MAX_ZONES;
 use crate::zone::health_evaluator::EvaluatorSettings;
 
-/// Before a zone's name, that of the budget of its return.
+/// Prefix of a zone's name in the name of the budget for its return to service.
 const RETURN: &str = "zone/";
 
 #[derive(Debug, Deserialize)]
@@ -33,7 +33,7 @@
     step_ms: f64,
     #[serde(default = "trust_ms")]
     trust_ms: f64,
-    /// For drills: no probes and no slow return.
+    /// For drills: a zone returns at full weight, without probes or a slow start.
     #[serde(default)]
     drill_at_once: bool,
 }
@@ -58,16 +58,16 @@
     10_000.0
 }
 
-/// The zones, checked.
+/// The checked zone settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zones {
-    /// What the leading keeper judges by.
+    /// Settings by which the leading replica evaluates zone health.
     pub judged: EvaluatorSettings,
-    /// Calls under way that each bears, in the order of the names.
+    /// Concurrent calls that each zone can serve, in the order of the zone names.
     pub bears: Vec<u32>,
-    /// No call into a zone runs below for longer than this after its spending.
+    /// Longest time that a call into a zone runs downstream after it consumed its budget.
     pub longest: Micros,
-    /// A node that hears no keeper holds to what it was told for so long.
+    /// How long a node that hears from no replica follows the last decision.
     pub trust: Micros,
 }
 
@@ -115,7 +115,7 @@
         })
     }
 
-    /// The budgets of the zones' returns, in the order of their names.
+    /// One budget per zone for its return to service, in the order of the zone names.
     pub fn budgets(&self) -> impl Iterator<Item = Budget> {
         self.judged.zones.iter().zip(&self.bears).map(|(zone, bears)| Budget {
             name: format!("{RETURN}{zone}"),
--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -1,7 +1,7 @@
-//! The control address: HTTP/1.1, one call a connection. A state machine that is fed bytes and knows no socket.
+//! The control interface: HTTP/1.1 with one call per connection, as a state machine that is fed bytes and uses no sockets.
 //!
-//! What it guards against: heads without end, bodies without end or of no stated length, calls in pieces, and
-//! callers that mean another service.
+//! It guards against unbounded heads, bodies that are unbounded or without a stated length, fragmented calls, and clients
+//! that meant to reach another service.
 
 use bytes::BytesMut;
 
@@ -9,51 +9,51 @@
 use crate::service::ServiceOrder;
 use crate::zone;
 
-/// Most bytes of a call's head: the calls there are fit many times over.
+/// Limit on a call's head, bytes; every valid call is far smaller.
 pub const HEAD_MAX: usize = 4 << 10;
-/// Most bytes of a body; no call needs one, but clients send empty JSON and the like.
+/// Limit on a body, bytes. No call needs a body, but clients send an empty JSON object and the like.
 pub const BODY_MAX: usize = 4 << 10;
-/// Headers in a head.
+/// Limit on the headers in a head.
 const HEADERS_MAX: usize = 32;
 
-/// What is asked.
+/// A call to the control interface.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process takes clients.
+    /// Whether this process accepts clients.
     Ready,
-    /// What this process knows of its fleet.
+    /// This process's view of its fleet.
     Fleet,
-    /// Which version of the fleet's configuration it has in force.
+    /// The version of the fleet's configuration in force in this process.
     Catalog,
-    /// An order.
+    /// An order to take this node out of service or return it.
     Order(ServiceOrder),
-    /// An order to the fleet on a zone.
+    /// An order to the fleet about the zone of this name.
     Zone(zone::ZoneOrder, String),
 }
 
-/// Why a call can't be answered as one.
+/// Why a call is refused before it is carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It is not HTTP/1.1, its length makes no sense, or it ends halfway.
+    /// It is not HTTP/1.1, its length is invalid, or the connection ended before the call was complete.
     Malformed,
-    /// There is nothing at that path.
+    /// The path is unknown.
     NotFound,
-    /// That path takes another method.
+    /// The path takes another method.
     Method {
-        /// The one it takes.
+        /// The method that it takes.
         allow: &'static str,
     },
-    /// It was not whole in time.
+    /// It was not complete in time.
     Late,
-    /// Its body does not tell its length.
+    /// It has a body without a Content-Length.
     Length,
-    /// Its body is too large.
+    /// Its body exceeds [`BODY_MAX`].
     Body,
-    /// Its head is too large.
+    /// Its head exceeds [`HEAD_MAX`] or has too many headers.
     Head,
 }
 
-/// The answer to a call: a status and a line that says what happened.
+/// The answer to a call: an HTTP status and one line of text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     status: u16,
@@ -62,17 +62,17 @@
 }
 
 impl Answer {
-    /// A yes.
+    /// An answer with status 200.
     pub fn yes(text: impl Into<String>) -> Answer {
         Answer { status: 200, allow: None, text: text.into() }
     }
 
-    /// A no, as things are now.
+    /// An answer with an error status: the call is refused in the current state.
     pub fn no(status: u16, text: impl Into<String>) -> Answer {
         Answer { status, allow: None, text: text.into() }
     }
 
-    /// The bytes to send; the connection ends behind them.
+    /// The bytes to send, after which the connection is closed.
     pub fn bytes(&self) -> Vec<u8> {
         let reason = match self.status {
             200 => "OK",
@@ -114,22 +114,22 @@
     }
 }
 
-/// One connection's call, as far as it has come in.
+/// The part of one connection's call that has been received.
 #[derive(Debug, Default)]
 pub struct Console {
     input: BytesMut,
 }
 
 impl Console {
-    /// Takes in bytes; a call or a fault once it is known which. Nothing that comes behind it counts.
+    /// Adds received bytes, and returns the call or fault once it is known. Bytes after it are ignored.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Call, Fault>> {
         self.input.extend_from_slice(bytes);
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
         let mut head = httparse::Request::new(&mut headers);
-        let at = match head.parse(&self.input) {
+        let head_length = match head.parse(&self.input) {
             Err(httparse::Error::TooManyHeaders) => return Some(Err(Fault::Head)),
             Err(_) => return Some(Err(Fault::Malformed)),
-            Ok(httparse::Status::Complete(at)) if at <= HEAD_MAX => at,
+            Ok(httparse::Status::Complete(length)) if length <= HEAD_MAX => length,
             Ok(httparse::Status::Partial) if self.input.len() <= HEAD_MAX => return None,
             Ok(_) => return Some(Err(Fault::Head)),
         };
@@ -137,15 +137,15 @@
             Ok(call) => call,
             fault => return Some(fault),
         };
-        match body(head.headers) {
-            // A call is whole with its body, so that the close behind the answer meets no unread bytes.
-            Ok(length) if self.input.len() < at + length => None,
+        match body_length(head.headers) {
+            // A call is complete only with its body: closing a socket with unread bytes could discard the answer.
+            Ok(length) if self.input.len() < head_length + length => None,
             Ok(_) => Some(Ok(call)),
             Err(fault) => Some(Err(fault)),
         }
     }
 
-    /// The peer has said all it will: nothing where it never said a word.
+    /// The fault of a connection that the peer has closed; `None` if it sent nothing.
     pub fn ended(&self) -> Option<Fault> {
         (!self.input.is_empty()).then_some(Fault::Malformed)
     }
@@ -164,7 +164,7 @@
     if method == allow { Ok(call) } else { Err(Fault::Method { allow }) }
 }
 
-/// `/control/zones/leave/NAME`, and so on.
+/// Parses `/control/zones/ORDER/NAME`, where ORDER is leave, return or hold.
 fn zone_call(path: &str) -> Option<Call> {
     let (order, name) = path.strip_prefix("/control/zones/")?.split_once('/')?;
     let order = match order {
@@ -178,15 +178,15 @@
     fits.then(|| Call::Zone(order, name.to_owned()))
 }
 
-/// Bytes of body that are still to come behind a head.
-fn body(headers: &[httparse::Header<'_>]) -> Result<usize, Fault> {
+/// Length of the body that follows a head, bytes.
+fn body_length(headers: &[httparse::Header<'_>]) -> Result<usize, Fault> {
     let mut length = None;
     for h in headers {
         if h.name.eq_ignore_ascii_case("content-length") {
             let value = std::str::from_utf8(h.value).ok().map(str::trim);
-            let plain = value.filter(|v| !v.is_empty() && v.bytes().all(|b| b.is_ascii_digit()));
-            // A figure too large for a number is a body too large all the same.
-            let n = plain.ok_or(Fault::Malformed)?.parse().unwrap_or(usize::MAX);
+            let digits = value.filter(|v| !v.is_empty() && v.bytes().all(|b| b.is_ascii_digit()));
+            // A length that overflows the integer type means a body that is too large.
+            let n = digits.ok_or(Fault::Malformed)?.parse().unwrap_or(usize::MAX);
             if length.is_some_and(|l| l != n) {
                 return Err(Fault::Malformed);
             }
--- a/src/console/tests.rs
+++ b/src/console/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn calls_and_faults() {
+fn a_call_or_fault_is_the_same_at_once_and_byte_by_byte() {
     let long = format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "a".repeat(HEAD_MAX));
     let endless = format!("GET /control/ready HTTP/1.1\r\nX: {}", "a".repeat(HEAD_MAX));
     let many = format!("GET /control/ready HTTP/1.1\r\n{}\r\n", "X: 1\r\n".repeat(HEADERS_MAX + 1));
@@ -46,7 +46,7 @@
     ];
     for (text, want) in table {
         assert_eq!(Console::default().feed(text.as_bytes()), want, "at once: {text:?}");
-        // In pieces of a byte it is the same call.
+        // Fed one byte at a time, the result is the same.
         let mut console = Console::default();
         let mut got = None;
         for b in text.bytes() {
@@ -57,8 +57,10 @@
 }
 
 #[test]
-fn answers_tell_yes_from_no() {
-    let start = |a: Answer| String::from_utf8(a.bytes()).expect("text").lines().next().map(str::to_owned);
+fn answers_have_the_status_of_their_fault_or_result() {
+    let status_line = |a: Answer| {
+        String::from_utf8(a.bytes()).expect("an answer is UTF-8").lines().next().map(str::to_owned)
+    };
     let faults = [
         (Fault::Malformed, "400 Bad Request"),
         (Fault::NotFound, "404 Not Found"),
@@ -69,9 +71,13 @@
         (Fault::Head, "431 Request Header Fields Too Large"),
     ];
     for (fault, want) in faults {
-        assert_eq!(start(fault.into()), Some(format!("HTTP/1.1 {want}")));
+        assert_eq!(status_line(fault.into()), Some(format!("HTTP/1.1 {want}")));
     }
-    assert_eq!(start(Answer::yes("in service")).as_deref(), Some("HTTP/1.1 200 OK"));
-    assert_eq!(start(Answer::no(409, "leaving")).as_deref(), Some("HTTP/1.1 409 Conflict"));
-    assert!(String::from_utf8(Answer::yes("x").bytes()).expect("text").contains("Content-Length: 2\r\n"));
+    assert_eq!(status_line(Answer::yes("in service")).as_deref(), Some("HTTP/1.1 200 OK"));
+    assert_eq!(status_line(Answer::no(409, "leaving")).as_deref(), Some("HTTP/1.1 409 Conflict"));
+    assert!(
+        String::from_utf8(Answer::yes("x").bytes())
+            .expect("an answer is UTF-8")
+            .contains("Content-Length: 2\r\n")
+    );
 }
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -1,4 +1,4 @@
-//! The uwsgi servers, from an inventory as configuration tools keep it: Ansible-style YAML, or CSV.
+//! Reads the uwsgi servers from an inventory in Ansible-style YAML or in CSV.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -11,8 +11,8 @@
 use crate::config::{ConfigError, read_text};
 
 /// Slots of a host that declares none.
-const SLOTS: u32 = 1;
-/// Hosts that one range may stand for.
+const DEFAULT_SLOTS: u32 = 1;
+/// Limit on the hosts that one range expands to.
 const RANGE_MAX: u32 = 1_000;
 
 /// One uwsgi server.
@@ -20,13 +20,13 @@
 pub struct Host {
     /// Its name in the inventory.
     pub name: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Requests that it works on at a time.
+    /// Requests that it processes concurrently.
     pub slots: u32,
 }
 
-/// What is wrong with an inventory.
+/// An invalid inventory: the first fault, with its line.
 #[derive(Debug, Error)]
 #[error("{path}:{line}: {reason}")]
 pub struct InventoryError {
@@ -35,10 +35,10 @@
     reason: String,
 }
 
-/// What is wrong, and in which line.
-type Wrong = (usize, String);
+/// The line of a fault, from 1, and its reason.
+type LineError = (usize, String);
 
-/// A value and the line it stands in.
+/// Variables by name, each with its value and line.
 type Vars = BTreeMap<String, (String, usize)>;
 
 #[derive(Default)]
@@ -51,14 +51,14 @@
 #[derive(Default)]
 struct Inventory {
     groups: BTreeMap<String, Group>,
-    /// Each host's own vars, and the line that first names it.
+    /// Each host's own variables, and the line that first names it.
     hosts: BTreeMap<String, (Vars, usize)>,
 }
 
 /// Reads the hosts of one group (`all` for every host), in the order of their names.
 ///
 /// # Errors
-/// A file that can't be read, or the first thing wrong in it, with its line.
+/// A file that can't be read, or its first fault, with its line.
 pub fn load(path: &Path, group: &str) -> Result<Vec<Host>, ConfigError> {
     let text = read_text(path)?;
     let csv = path.extension().is_some_and(|e| e.eq_ignore_ascii_case("csv"));
@@ -70,7 +70,7 @@
 /// Reads the hosts of one group from an inventory's text.
 ///
 /// # Errors
-/// The first thing that is wrong, with its line.
+/// The first fault, with its line.
 pub fn parse(path: &str, text: &str, csv: bool, group: &str) -> Result<Vec<Host>, InventoryError> {
     let read = if csv { from_csv(text) } else { from_yaml(text) };
     read.and_then(|i| i.hosts_of(group)).map_err(|(line, reason)| InventoryError {
@@ -81,10 +81,10 @@
 }
 
 impl Inventory {
-    fn add_host(&mut self, group: &str, name: &str, vars: Vars, line: usize) -> Result<(), Wrong> {
+    fn add_host(&mut self, group: &str, name: &str, vars: Vars, line: usize) -> Result<(), LineError> {
         self.groups.entry(group.to_owned()).or_default().hosts.insert(name.to_owned());
         match self.hosts.get_mut(name) {
-            // A host may be listed in several groups, but what it is must be said in one place.
+            // A host may be listed in several groups, but only one of them may set its variables.
             Some((old, first)) if !old.is_empty() && !vars.is_empty() => {
                 Err((line, format!("duplicate host '{name}', first in line {first}")))
             }
@@ -99,14 +99,15 @@
         }
     }
 
-    /// Every group's depth: the length of the longest way to it from `all`.
-    fn depths(&self) -> Result<BTreeMap<&str, usize>, Wrong> {
+    /// The depth of each group: the length of the longest path to it from `all`.
+    fn depths(&self) -> Result<BTreeMap<&str, usize>, LineError> {
         let mut depths = BTreeMap::new();
         let mut children = BTreeSet::new();
         for g in self.groups.values() {
             children.extend(g.children.keys().map(String::as_str));
         }
-        // Groups that nobody lists are children of `all`, as Ansible has it. One in a cycle may be no root's child.
+        // Groups that no other group lists are children of `all`, as in Ansible. The members of a cycle may not be
+        // reachable from any root, so all groups are visited.
         let roots = self.groups.keys().filter(|g| !children.contains(g.as_str()));
         for root in roots.chain(self.groups.keys()) {
             if !depths.contains_key(root.as_str()) {
@@ -121,51 +122,50 @@
         &'a self,
         group: &'a str,
         depth: usize,
-        way: &mut Vec<&'a str>,
+        path: &mut Vec<&'a str>,
         depths: &mut BTreeMap<&'a str, usize>,
-    ) -> Result<(), Wrong> {
+    ) -> Result<(), LineError> {
         if depths.get(group).is_some_and(|d| *d >= depth) {
             return Ok(());
         }
         depths.insert(group, depth);
-        way.push(group);
+        path.push(group);
         for (child, line) in self.groups.get(group).into_iter().flat_map(|g| &g.children) {
-            if way.contains(&child.as_str()) {
-                return Err((*line, format!("cyclic group '{child}': {} > {child}", way.join(" > "))));
+            if path.contains(&child.as_str()) {
+                return Err((*line, format!("cyclic group '{child}': {} > {child}", path.join(" > "))));
             }
-            self.descend(child, depth + 1, way, depths)?;
+            self.descend(child, depth + 1, path, depths)?;
         }
-        way.pop();
+        path.pop();
         Ok(())
     }
 
-    /// Whether a host is in a group or below it.
-    fn holds(&self, group: &str, host: &str) -> bool {
+    /// Whether a host is in a group or one of its descendants.
+    fn contains_host(&self, group: &str, host: &str) -> bool {
         group == "all"
-            || self
-                .groups
-                .get(group)
-                .is_some_and(|g| g.hosts.contains(host) || g.children.keys().any(|c| self.holds(c, host)))
+            || self.groups.get(group).is_some_and(|g| {
+                g.hosts.contains(host) || g.children.keys().any(|c| self.contains_host(c, host))
+            })
     }
 
-    fn hosts_of(&self, wanted: &str) -> Result<Vec<Host>, Wrong> {
+    fn hosts_of(&self, wanted: &str) -> Result<Vec<Host>, LineError> {
         let depths = self.depths()?;
         if wanted != "all" && !self.groups.contains_key(wanted) {
             return Err((1, format!("no group '{wanted}'")));
         }
-        // Vars of a deeper group win over those above it; between groups of one depth the later name wins.
+        // Variables of a deeper group override those of its ancestors; at equal depth the later name overrides.
         let mut order: Vec<(usize, &str)> = depths.iter().map(|(g, d)| (*d, *g)).collect();
         order.sort_unstable();
         let mut hosts = Vec::new();
-        let mut taken: BTreeMap<SocketAddr, &str> = BTreeMap::new();
-        for (name, (own, line)) in self.hosts.iter().filter(|(name, _)| self.holds(wanted, name)) {
+        let mut name_by_address: BTreeMap<SocketAddr, &str> = BTreeMap::new();
+        for (name, (own, line)) in self.hosts.iter().filter(|(name, _)| self.contains_host(wanted, name)) {
             let mut vars = Vars::new();
-            for (_, g) in order.iter().filter(|(_, g)| self.holds(g, name)) {
+            for (_, g) in order.iter().filter(|(_, g)| self.contains_host(g, name)) {
                 vars.extend(self.groups.get(*g).into_iter().flat_map(|g| g.vars.clone()));
             }
             vars.extend(own.clone());
             let host = host(name, &vars, *line)?;
-            if let Some(other) = taken.insert(host.address, name) {
+            if let Some(other) = name_by_address.insert(host.address, name) {
                 return Err((*line, format!("duplicate host: '{name}' has the address of '{other}'")));
             }
             hosts.push(host);
@@ -174,7 +174,7 @@
     }
 }
 
-fn host(name: &str, vars: &Vars, line: usize) -> Result<Host, Wrong> {
+fn host(name: &str, vars: &Vars, line: usize) -> Result<Host, LineError> {
     let (ip, ip_line) = vars.get("ansible_host").map_or((name, line), |(v, l)| (v, *l));
     let ip: IpAddr =
         ip.parse().map_err(|_| (ip_line, format!("host '{name}': '{ip}' is not an IP address")))?;
@@ -183,7 +183,7 @@
     let port = port.parse::<u16>().ok().filter(|p| *p > 0);
     let port = port.ok_or_else(|| (*at, format!("host '{name}': bad port '{}'", vars["ansible_port"].0)))?;
     let slots = match vars.get("slots") {
-        None => SLOTS,
+        None => DEFAULT_SLOTS,
         Some((v, l)) => v
             .parse()
             .ok()
@@ -197,10 +197,10 @@
 
 const COLUMNS: [&str; 5] = ["name", "group", "ansible_host", "ansible_port", "slots"];
 
-fn from_csv(text: &str) -> Result<Inventory, Wrong> {
+fn from_csv(text: &str) -> Result<Inventory, LineError> {
     let mut reader = csv::ReaderBuilder::new().trim(csv::Trim::All).from_reader(text.as_bytes());
-    let wrong = |e: csv::Error| (e.position().map_or(1, |p| p.line() as usize), e.to_string());
-    let header = reader.headers().map_err(wrong)?.clone();
+    let csv_error = |e: csv::Error| (e.position().map_or(1, |p| p.line() as usize), e.to_string());
+    let header = reader.headers().map_err(csv_error)?.clone();
     for (i, column) in header.iter().enumerate() {
         if !COLUMNS.contains(&column) {
             return Err((1, format!("unknown column '{column}'")));
@@ -214,7 +214,7 @@
     }
     let mut inventory = Inventory::default();
     for record in reader.records() {
-        let record = record.map_err(wrong)?;
+        let record = record.map_err(csv_error)?;
         let line = record.position().map_or(1, |p| line_at(text, p.byte() as usize));
         let cells = header.iter().zip(record.iter()).filter(|(_, v)| !v.is_empty());
         let mut vars: Vars = cells.map(|(k, v)| (k.to_owned(), (v.to_owned(), line))).collect();
@@ -228,7 +228,7 @@
     Ok(inventory)
 }
 
-/// The line of the record that starts at or, past blank lines, behind this byte.
+/// The line of the record that starts at this byte, or after blank lines behind it.
 fn line_at(text: &str, byte: usize) -> usize {
     let (before, after) = text.split_at_checked(byte).unwrap_or((text, ""));
     let blank = after.len() - after.trim_start_matches(['\r', '\n']).len();
@@ -241,7 +241,7 @@
     node.span().start().map_or(1, |m| m.line())
 }
 
-fn load_error(e: &LoadError) -> Wrong {
+fn load_error(e: &LoadError) -> LineError {
     let (at, reason) = match e {
         LoadError::TopLevelMustBeMapping(m) => (m, "not a mapping of groups".to_owned()),
         LoadError::TopLevelMustBeSequence(m) => (m, "not a sequence".to_owned()),
@@ -252,19 +252,19 @@
         LoadError::DuplicateKey(keys) => {
             let (first, at) = (keys.prev_key.span().start(), keys.key.span().start());
             let first = first.map_or(1, |m| m.line());
-            let what = format!("duplicate host or key '{}', first in line {first}", keys.key.as_str());
-            return (at.map_or(1, |m| m.line()), what);
+            let reason = format!("duplicate host or key '{}', first in line {first}", keys.key.as_str());
+            return (at.map_or(1, |m| m.line()), reason);
         }
     };
     (at.line(), reason)
 }
 
-fn from_yaml(text: &str) -> Result<Inventory, Wrong> {
+fn from_yaml(text: &str) -> Result<Inventory, LineError> {
     let options = LoaderOptions::default().error_on_duplicate_keys(true);
     let root = parse_yaml_with_options(0, text, options).map_err(|e| load_error(&e))?;
     let mut inventory = Inventory::default();
     for (name, body) in entries(&root, "the inventory")? {
-        inventory.group(&name, body, 0)?;
+        inventory.add_group(&name, body, 0)?;
     }
     Ok(inventory)
 }
@@ -273,8 +273,8 @@
     node.as_scalar().is_some_and(|s| matches!(s.as_str(), "" | "~" | "null") && s.may_coerce())
 }
 
-/// The pairs of a mapping; nothing for a null, as tools write an empty group or host so.
-fn entries<'a>(node: &'a Node, what: &str) -> Result<Vec<(String, &'a Node)>, Wrong> {
+/// The pairs of a mapping; none for a null, which is how tools write an empty group or host.
+fn entries<'a>(node: &'a Node, what: &str) -> Result<Vec<(String, &'a Node)>, LineError> {
     let map: Option<&MarkedMappingNode> = node.as_mapping();
     match map {
         Some(map) => Ok(map.iter().map(|(k, v)| (k.as_str().to_owned(), v)).collect()),
@@ -283,15 +283,15 @@
     }
 }
 
-fn vars(node: &Node, what: &str) -> Result<Vars, Wrong> {
+fn vars(node: &Node, what: &str) -> Result<Vars, LineError> {
     let pairs = entries(node, what)?.into_iter();
-    // Tools keep many more vars than matter here, lists and mappings among them.
+    // Only scalar variables matter here; tools store many others, lists and mappings among them.
     let plain = pairs.filter_map(|(k, v)| Some((k, (v.as_scalar()?.as_str().to_owned(), line_of(v)))));
     Ok(plain.collect())
 }
 
 impl Inventory {
-    fn group(&mut self, name: &str, body: &Node, depth: usize) -> Result<(), Wrong> {
+    fn add_group(&mut self, name: &str, body: &Node, depth: usize) -> Result<(), LineError> {
         if depth > 32 {
             return Err((line_of(body), format!("group '{name}' is nested too deep")));
         }
@@ -301,7 +301,7 @@
                 "hosts" => {
                     for (host, own) in entries(value, "hosts")? {
                         let own_vars = vars(own, &format!("host '{host}'"))?;
-                        // A host without vars has no line of its own to point at: its list has.
+                        // A host without variables has no line of its own in the parsed tree, so its list's line is used.
                         let line = if is_null(own) { line_of(value) } else { line_of(own) };
                         for host in expand(&host).map_err(|reason| (line, reason))? {
                             self.add_host(name, &host, own_vars.clone(), line)?;
@@ -309,15 +309,15 @@
                     }
                 }
                 "vars" => {
-                    let more = vars(value, "vars")?;
-                    self.groups.entry(name.to_owned()).or_default().vars.extend(more);
+                    let group_vars = vars(value, "vars")?;
+                    self.groups.entry(name.to_owned()).or_default().vars.extend(group_vars);
                 }
                 "children" => {
                     for (child, body) in entries(value, "children")? {
                         let line = if is_null(body) { line_of(value) } else { line_of(body) };
                         let children = &mut self.groups.entry(name.to_owned()).or_default().children;
                         children.insert(child.clone(), line);
-                        self.group(&child, body, depth + 1)?;
+                        self.add_group(&child, body, depth + 1)?;
                     }
                 }
                 _ => return Err((line_of(value), format!("unknown key '{key}' in group '{name}'"))),
@@ -327,16 +327,16 @@
     }
 }
 
-/// The names that a numeric range such as `gate[01:12]` stands for; a name without one stands for itself.
+/// Expands a numeric range such as `gate[01:12]` into names; a name without a range is returned alone.
 fn expand(pattern: &str) -> Result<Vec<String>, String> {
     let Some((head, rest)) = pattern.split_once('[') else { return Ok(vec![pattern.to_owned()]) };
-    let bad = || format!("bad range in host '{pattern}'");
-    let (range, tail) = rest.split_once(']').ok_or_else(bad)?;
-    let (from, to) = range.split_once(':').ok_or_else(bad)?;
+    let bad_range = || format!("bad range in host '{pattern}'");
+    let (range, tail) = rest.split_once(']').ok_or_else(bad_range)?;
+    let (from, to) = range.split_once(':').ok_or_else(bad_range)?;
     let width = if from.starts_with('0') { from.len() } else { 0 };
-    let (a, b): (u32, u32) = (from.parse().map_err(|_| bad())?, to.parse().map_err(|_| bad())?);
+    let (a, b): (u32, u32) = (from.parse().map_err(|_| bad_range())?, to.parse().map_err(|_| bad_range())?);
     if b < a || b - a >= RANGE_MAX {
-        return Err(bad());
+        return Err(bad_range());
     }
     let mut names = Vec::new();
     for n in a..=b {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings object, as the simulator and the platform's configuration both give it.
+//! The settings object, in the form that the simulator and the platform's configuration file share.
 
 pub mod shape;
 pub mod slots;
@@ -11,12 +11,13 @@
 pub use shape::lacking;
 use told::Told;
 
-/// How long callers leave a connection idle where the settings do not say.
-const IDLE_MAX: Micros = Micros::from_millis(30_000);
+/// Longest time that callers leave a connection idle, where the settings don't set it.
+const DEFAULT_IDLE_MAX: Micros = Micros::from_millis(30_000);
 
-struct Node<'a>(&'a Value, &'static str);
+/// A JSON object, and the name that error messages give it.
+struct NamedObject<'a>(&'a Value, &'static str);
 
-impl Node<'_> {
+impl NamedObject<'_> {
     fn get(&self, key: &str) -> Option<&Value> {
         self.0.get(key).filter(|v| !v.is_null())
     }
@@ -30,7 +31,7 @@
         self.get(key).and_then(Value::as_f64).ok_or_else(|| self.missing(key))
     }
 
-    /// A number that a site may leave out where the feature is absent.
+    /// A number that a site may leave out where it does not use the feature; 0 then.
     fn num_or_zero(&self, key: &str) -> Result<f64, String> {
         if self.get(key).is_none() { Ok(0.0) } else { self.num(key) }
     }
@@ -52,7 +53,8 @@
         self.get(key).and_then(Value::as_str).ok_or_else(|| self.missing(key))
     }
 
-    fn word(&self, key: &str) -> Result<&str, String> {
+    /// A keyword; `silent`, which turns the feature off, where it is left out.
+    fn keyword(&self, key: &str) -> Result<&str, String> {
         if self.get(key).is_none() { Ok("silent") } else { self.text(key) }
     }
 
@@ -69,37 +71,37 @@
     }
 }
 
-/// Reads the settings object of a start from its text.
+/// Reads a settings object from its JSON text.
 ///
 /// # Errors
 /// Text that is not JSON, or a field that is missing or of the wrong kind.
 pub fn from_text(json: &str) -> Result<Settings, String> {
-    let told: Told = serde_json::from_str(json).map_err(|e| format!("params is not JSON: {e}"))?;
-    from_told(told)
+    let raw: Told = serde_json::from_str(json).map_err(|e| format!("params is not JSON: {e}"))?;
+    from_raw(raw)
 }
 
-/// Reads the settings object of a start.
+/// Reads a settings object from a JSON value.
 ///
 /// # Errors
 /// Names the first field that is missing or of the wrong kind.
 pub fn from_json(root: &Value) -> Result<Settings, String> {
-    from_told(Told::deserialize(root).map_err(|e| e.to_string())?)
+    from_raw(Told::deserialize(root).map_err(|e| e.to_string())?)
 }
 
-/// What a settings object comes to.
+/// Converts a deserialized settings object.
 ///
 /// # Errors
 /// Names the first field that is missing or of the wrong kind.
-pub fn from_told(Told { rest, classes, tenants }: Told) -> Result<Settings, String> {
-    let (root, none) = (&rest, Value::Null);
-    let at = |key: &'static str| Node(root.get(key).unwrap_or(&none), key);
-    let (top, domain, contract) = (Node(root, "params"), at("domain"), at("contract"));
+pub fn from_raw(Told { rest, classes, tenants }: Told) -> Result<Settings, String> {
+    let (root, absent) = (&rest, Value::Null);
+    let at = |key: &'static str| NamedObject(root.get(key).unwrap_or(&absent), key);
+    let (top, domain, contract) = (NamedObject(root, "params"), at("domain"), at("contract"));
     let (limits, callers) = (at("limits"), at("callers"));
-    let (class_calls, without) = (domain.list("class-calls")?, domain.list("worth-without")?);
+    let (class_calls, weights_without_call) = (domain.list("class-calls")?, domain.list("worth-without")?);
     let mut classes = classes?;
     for (i, c) in classes.iter_mut().enumerate() {
         c.may_call = class_calls.get(i).is_some_and(|v| v.as_bool().unwrap_or(v.as_f64() == Some(1.0)));
-        c.weight_without_call = without.get(i).and_then(Value::as_f64).unwrap_or(0.0);
+        c.weight_without_call = weights_without_call.get(i).and_then(Value::as_f64).unwrap_or(0.0);
     }
     let mut tenants = tenants?;
     classes.shrink_to_fit();
@@ -113,19 +115,19 @@
         classes,
         tenants,
         over_quota_weight: top.num_or_zero("over-share-worth")?,
-        weighs_by_work: top.word("counted-by")? == "work",
+        weighs_by_work: top.keyword("counted-by")? == "work",
         marks_retries: callers.flag("marks-retry")?,
         is_cold: domain.flag("cold")?,
         replicas: top.count("replicas-of-me")?,
         replica_index: if top.get("me").is_some() { Some(top.count("me")?) } else { None },
         callers: domain.count("senders")?,
-        stop_mode: match domain.word("halt")? {
+        stop_mode: match domain.keyword("halt")? {
             "silent" => StopMode::None,
             "discard" => StopMode::Discard,
             "freeze" => StopMode::Freeze,
             other => return Err(format!("unknown halt '{other}'")),
         },
-        load_signal: match domain.word("say")? {
+        load_signal: match domain.keyword("say")? {
             "silent" => LoadSignal::None,
             "floor" => LoadSignal::MinimumRank,
             "allowance" => LoadSignal::Allowance,
@@ -133,7 +135,7 @@
             other => return Err(format!("unknown say '{other}'")),
         },
         signal_lifetime: domain.micros("heeded-us")?,
-        downstream: match domain.word("below")? {
+        downstream: match domain.keyword("below")? {
             "silent" => Downstream::Nothing,
             "one_for_all" => Downstream::Shared,
             "tier" => Downstream::Tier,
@@ -145,8 +147,8 @@
         fresh_for: domain.micros("fresh-for-us")?,
         deep_checks: domain.flag("deep-checks")?,
         readiness: domain.flag("readiness")?,
-        // Left out, it tells nothing; taken as no time at all it would close whoever has just connected.
-        idle_max: Some(domain.micros("idle-us")?).filter(|t| t.0 > 0).unwrap_or(IDLE_MAX),
+        // Zero means that it is left out; as a time limit it would close each connection as soon as it is made.
+        idle_max: Some(domain.micros("idle-us")?).filter(|t| t.0 > 0).unwrap_or(DEFAULT_IDLE_MAX),
         is_retry_after_sent: limits.flag("retry-after")?,
         retry_after_max: limits.micros("max-retry-after-us")?,
         answer_slack: contract.micros("answer-slack-us")?,
--- a/src/settings/shape.rs
+++ b/src/settings/shape.rs
@@ -1,4 +1,4 @@
-//! What a file has to have, once another one is in force: the keys of the one in force, without its values.
+//! The keys of the configuration file in force, without its values: a file that replaces it must have each of them.
 
 use std::fmt;
 
@@ -6,63 +6,63 @@
 use serde::{Deserialize, de};
 use serde_json::Value;
 
-/// Keys that the wire's page calls optional.
+/// Keys that the wire specification calls optional.
 const OPTIONAL: [&str; 2] = ["aim-stretch", "passes-deadline"];
 
-/// The keys of a JSON value, in their order, each with what its own value has.
+/// The keys of a JSON object in sorted order, each with the shape of its value.
 type Keys = Vec<(Box<str>, Shape)>;
 
-/// The keys of a JSON value, at every depth. A list counts with what all its elements have, so that its size does not matter.
+/// The keys of a JSON value at every depth. A list contributes the keys that all its elements have, whatever its length.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Shape(Kind);
+pub struct Shape(KeyTree);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-enum Kind {
-    /// It asks for nothing.
+enum KeyTree {
+    /// A scalar, which requires no keys.
     #[default]
     Plain,
     Object(Keys),
-    /// What each element has to have.
+    /// The keys that each element must have.
     List(Keys),
 }
 
 impl Shape {
-    /// The first key that this has and a value, which is to take its place, lacks: how a file that was cut down or written
-    /// by hand shows. Elements of a list need what all elements have that it replaces.
+    /// The first key of this shape that a replacement value lacks, which reveals a file that was truncated or written by
+    /// hand. Each element of a list needs the keys that all elements of the replaced list have.
     ///
     /// # Errors
-    /// What is wrong with the value's text.
-    pub fn lacking<'de, D: Deserializer<'de>>(&self, told: D) -> Result<Option<String>, D::Error> {
-        Lacks(&self.0).deserialize(told)
+    /// The replacement's text is not valid.
+    pub fn lacking<'de, D: Deserializer<'de>>(&self, replacement: D) -> Result<Option<String>, D::Error> {
+        MissingKey(&self.0).deserialize(replacement)
     }
 }
 
-/// The first key that one value has and another, which is to take its place, lacks ([`Shape::lacking`]).
-pub fn lacking(in_force: &Value, told: &Value) -> Option<String> {
-    // What is JSON already has nothing wrong with its text.
-    Shape::deserialize(in_force).ok()?.lacking(told).ok()?
+/// The first key of one value that its replacement lacks ([`Shape::lacking`]).
+pub fn lacking(in_force: &Value, replacement: &Value) -> Option<String> {
+    // A parsed value can't have a syntax error.
+    Shape::deserialize(in_force).ok()?.lacking(replacement).ok()?
 }
 
-/// Visits whatever is neither object nor list, which says nothing.
+/// Visitor methods for scalars: each returns the given empty result.
 macro_rules! scalars {
-    ($out:ty, $none:expr) => {
+    ($out:ty, $empty:expr) => {
         fn visit_unit<E>(self) -> Result<$out, E> {
-            Ok($none)
+            Ok($empty)
         }
         fn visit_bool<E>(self, _: bool) -> Result<$out, E> {
-            Ok($none)
+            Ok($empty)
         }
         fn visit_i64<E>(self, _: i64) -> Result<$out, E> {
-            Ok($none)
+            Ok($empty)
         }
         fn visit_u64<E>(self, _: u64) -> Result<$out, E> {
-            Ok($none)
+            Ok($empty)
         }
         fn visit_f64<E>(self, _: f64) -> Result<$out, E> {
-            Ok($none)
+            Ok($empty)
         }
         fn visit_str<E: de::Error>(self, _: &str) -> Result<$out, E> {
-            Ok($none)
+            Ok($empty)
         }
         fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
             f.write_str("JSON")
@@ -70,13 +70,13 @@
     };
 }
 
-/// Reads the rest of a list and forgets it.
+/// Reads and discards the rest of a list.
 fn drain<'de, A: SeqAccess<'de>>(mut seq: A) -> Result<(), A::Error> {
     while seq.next_element::<IgnoredAny>()?.is_some() {}
     Ok(())
 }
 
-/// Reads the rest of an object and forgets it.
+/// Reads and discards the rest of an object.
 fn drain_map<'de, A: MapAccess<'de>>(mut map: A) -> Result<(), A::Error> {
     while map.next_entry::<IgnoredAny, IgnoredAny>()?.is_some() {}
     Ok(())
@@ -84,13 +84,13 @@
 
 impl<'de> Deserialize<'de> for Shape {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Shape, D::Error> {
-        d.deserialize_any(Whole)
+        d.deserialize_any(ShapeVisitor)
     }
 }
 
-struct Whole;
+struct ShapeVisitor;
 
-impl<'de> Visitor<'de> for Whole {
+impl<'de> Visitor<'de> for ShapeVisitor {
     type Value = Shape;
 
     scalars!(Shape, Shape::default());
@@ -103,26 +103,26 @@
                 Err(at) => keys.insert(at, (key, shape)),
             }
         }
-        Ok(Shape(Kind::Object(keys)))
+        Ok(Shape(KeyTree::Object(keys)))
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Shape, A::Error> {
-        let Some(Shape(Kind::Object(mut keys))) = seq.next_element::<Shape>()? else {
+        let Some(Shape(KeyTree::Object(mut keys))) = seq.next_element::<Shape>()? else {
             drain(seq)?;
             return Ok(Shape::default());
         };
-        while let Some(has) = seq.next_element_seed(Has(&keys))? {
+        while let Some(has) = seq.next_element_seed(PresentKeys(&keys))? {
             let mut has = has.into_iter();
             keys.retain(|_| has.next().unwrap_or(false));
         }
-        Ok(Shape(Kind::List(keys)))
+        Ok(Shape(KeyTree::List(keys)))
     }
 }
 
-/// Which of these keys an element has; one that is no object has none.
-struct Has<'a>(&'a Keys);
+/// Reads which of these keys an element has; an element that is not an object has none.
+struct PresentKeys<'a>(&'a Keys);
 
-impl<'de> DeserializeSeed<'de> for Has<'_> {
+impl<'de> DeserializeSeed<'de> for PresentKeys<'_> {
     type Value = Vec<bool>;
 
     fn deserialize<D: Deserializer<'de>>(self, d: D) -> Result<Vec<bool>, D::Error> {
@@ -130,7 +130,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Has<'_> {
+impl<'de> Visitor<'de> for PresentKeys<'_> {
     type Value = Vec<bool>;
 
     scalars!(Vec<bool>, Vec::new());
@@ -141,7 +141,7 @@
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Vec<bool>, A::Error> {
         let mut has = vec![false; self.0.len()];
-        while let Some(at) = map.next_key_seed(Place(self.0))? {
+        while let Some(at) = map.next_key_seed(KeyIndex(self.0))? {
             map.next_value::<IgnoredAny>()?;
             if let Some(at) = at {
                 has[at] = true;
@@ -151,10 +151,10 @@
     }
 }
 
-/// A key's place among these, if it is one of them.
-struct Place<'a>(&'a Keys);
+/// Reads a key as its index among these; `None` if it is not one of them.
+struct KeyIndex<'a>(&'a Keys);
 
-impl<'de> DeserializeSeed<'de> for Place<'_> {
+impl<'de> DeserializeSeed<'de> for KeyIndex<'_> {
     type Value = Option<usize>;
 
     fn deserialize<D: Deserializer<'de>>(self, d: D) -> Result<Option<usize>, D::Error> {
@@ -162,7 +162,7 @@
     }
 }
 
-impl Visitor<'_> for Place<'_> {
+impl Visitor<'_> for KeyIndex<'_> {
     type Value = Option<usize>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -174,10 +174,10 @@
     }
 }
 
-/// What a value lacks of that.
-struct Lacks<'a>(&'a Kind);
+/// Reads a value and finds the first required key that it lacks.
+struct MissingKey<'a>(&'a KeyTree);
 
-impl<'de> DeserializeSeed<'de> for Lacks<'_> {
+impl<'de> DeserializeSeed<'de> for MissingKey<'_> {
     type Value = Option<String>;
 
     fn deserialize<D: Deserializer<'de>>(self, d: D) -> Result<Option<String>, D::Error> {
@@ -185,10 +185,10 @@
     }
 }
 
-/// What an object lacks of these keys.
-struct LacksKeys<'a>(&'a Keys);
+/// Reads an object and finds the first of these keys that it lacks.
+struct MissingObjectKey<'a>(&'a Keys);
 
-impl<'de> DeserializeSeed<'de> for LacksKeys<'_> {
+impl<'de> DeserializeSeed<'de> for MissingObjectKey<'_> {
     type Value = Option<String>;
 
     fn deserialize<D: Deserializer<'de>>(self, d: D) -> Result<Option<String>, D::Error> {
@@ -196,24 +196,24 @@
     }
 }
 
-impl<'de> Visitor<'de> for Lacks<'_> {
+impl<'de> Visitor<'de> for MissingKey<'_> {
     type Value = Option<String>;
 
     scalars!(Option<String>, None);
 
-    // Of another kind than it was: what reads it says so.
+    // A value of another JSON type lacks nothing here: the conversion of the settings reports it.
     fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<Option<String>, A::Error> {
         match self.0 {
-            Kind::Object(keys) => LacksKeys(keys).visit_map(map),
+            KeyTree::Object(keys) => MissingObjectKey(keys).visit_map(map),
             _ => drain_map(map).map(|()| None),
         }
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Option<String>, A::Error> {
-        if let Kind::List(keys) = self.0 {
+        if let KeyTree::List(keys) = self.0 {
             let mut i = 0;
-            while let Some(lacks) = seq.next_element_seed(LacksKeys(keys))? {
-                if let Some(rest) = lacks {
+            while let Some(missing) = seq.next_element_seed(MissingObjectKey(keys))? {
+                if let Some(rest) = missing {
                     drain(seq)?;
                     return Ok(Some(format!("{i}.{rest}")));
                 }
@@ -226,7 +226,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for LacksKeys<'_> {
+impl<'de> Visitor<'de> for MissingObjectKey<'_> {
     type Value = Option<String>;
 
     scalars!(Option<String>, None);
@@ -237,9 +237,9 @@
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Option<String>, A::Error> {
         let mut seen: Vec<Option<Option<String>>> = vec![None; self.0.len()];
-        while let Some(at) = map.next_key_seed(Place(self.0))? {
+        while let Some(at) = map.next_key_seed(KeyIndex(self.0))? {
             match at {
-                Some(at) => seen[at] = Some(map.next_value_seed(Lacks(&self.0[at].1.0))?),
+                Some(at) => seen[at] = Some(map.next_value_seed(MissingKey(&self.0[at].1.0))?),
                 None => _ = map.next_value::<IgnoredAny>()?,
             }
         }
--- a/src/settings/told.rs
+++ b/src/settings/told.rs
@@ -1,5 +1,5 @@
-//! The settings object as it is read: what there are thousands of is read one by one, so that no more of a file is in memory
-//! at a time than its text, what it comes to, and one element.
+//! Deserialization of the settings object. Classes and tenants, of which there may be thousands, are converted one by one,
+//! so that memory holds only the file's text, the converted settings and one JSON element at a time.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -9,16 +9,16 @@
 use serde::{Deserialize, de};
 use serde_json::{Map, Value};
 
-use super::Node;
+use super::NamedObject;
 use crate::interface::{ClassSettings, Effect, Micros, TenantSettings};
 
-/// A list, or the first thing that is wrong with it.
+/// A list, or the reason why its first invalid element is rejected.
 type List<T> = Result<Vec<T>, String>;
 
-/// A settings object.
+/// A settings object whose lists are converted and whose other values are still JSON.
 #[derive(Debug)]
 pub struct Told {
-    /// All but the lists.
+    /// All values except the lists of classes and tenants.
     pub(super) rest: Value,
     pub(super) classes: List<ClassSettings>,
     pub(super) tenants: List<TenantSettings>,
@@ -37,15 +37,15 @@
         names.into_iter().flatten().filter_map(|v| v.as_str().map(str::to_owned)).collect()
     }
 
-    /// Whether callers come here, and not a tier above.
+    /// Whether callers connect to this node, rather than an upstream tier.
     pub fn is_entry(&self) -> bool {
         self.rest.get("tier").and_then(Value::as_u64).unwrap_or(0) == 0
     }
 }
 
-/// One class, as far as it tells of itself.
+/// Reads one class; the values that `domain` holds for it are added later.
 fn class(c: &Value, seen: &mut HashSet<String>) -> Result<ClassSettings, String> {
-    let c = Node(c, "class");
+    let c = NamedObject(c, "class");
     let name = c.text("name")?;
     if !seen.insert(name.to_owned()) {
         return Err(format!("class '{name}' is there twice"));
@@ -69,14 +69,14 @@
 }
 
 fn tenant(t: &Value) -> Result<TenantSettings, String> {
-    let t = Node(t, "account");
+    let t = NamedObject(t, "account");
     Ok(TenantSettings { name: t.text("name")?.to_owned(), quota_per_s: t.num_or_zero("quota-per-s")? })
 }
 
-/// Reads a list's elements with this; `key` is for what is no list.
+/// Converts a list's elements one by one; errors about a value that is not a list name `key`.
 struct Elements<F> {
     key: &'static str,
-    one: F,
+    convert: F,
 }
 
 impl<'de, T, F: FnMut(&Value) -> Result<T, String>> DeserializeSeed<'de> for Elements<F> {
@@ -88,8 +88,8 @@
 }
 
 impl<F> Elements<F> {
-    fn no_list<T, E>(&self) -> Result<List<T>, E> {
-        Ok(Err(Node(&Value::Null, "params").missing(self.key)))
+    fn not_a_list<T, E>(&self) -> Result<List<T>, E> {
+        Ok(Err(NamedObject(&Value::Null, "params").missing(self.key)))
     }
 }
 
@@ -102,10 +102,10 @@
 
     fn visit_seq<A: SeqAccess<'de>>(mut self, mut seq: A) -> Result<List<T>, A::Error> {
         let mut all = Ok(Vec::new());
-        // Behind what is wrong the text may still be no JSON, which is said first.
+        // The rest is read even after an invalid element, as a JSON syntax error behind it is reported first.
         while let Some(element) = seq.next_element::<Value>()? {
             if let Ok(list) = &mut all {
-                match (self.one)(&element) {
+                match (self.convert)(&element) {
                     Ok(one) => list.push(one),
                     Err(e) => all = Err(e),
                 }
@@ -116,7 +116,7 @@
 
     fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<List<T>, A::Error> {
         Value::deserialize(MapAccessDeserializer::new(map))?;
-        self.no_list()
+        self.not_a_list()
     }
 
     fn visit_unit<E>(self) -> Result<List<T>, E> {
@@ -124,39 +124,40 @@
     }
 
     fn visit_bool<E>(self, _: bool) -> Result<List<T>, E> {
-        self.no_list()
+        self.not_a_list()
     }
 
     fn visit_i64<E>(self, _: i64) -> Result<List<T>, E> {
-        self.no_list()
+        self.not_a_list()
     }
 
     fn visit_u64<E>(self, _: u64) -> Result<List<T>, E> {
-        self.no_list()
+        self.not_a_list()
     }
 
     fn visit_f64<E>(self, _: f64) -> Result<List<T>, E> {
-        self.no_list()
+        self.not_a_list()
     }
 
     fn visit_str<E>(self, _: &str) -> Result<List<T>, E> {
-        self.no_list()
+        self.not_a_list()
     }
 }
 
 impl<'de> Deserialize<'de> for Told {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Told, D::Error> {
-        d.deserialize_any(Whole)
+        d.deserialize_any(RawSettingsVisitor)
     }
 }
 
-struct Whole;
+struct RawSettingsVisitor;
 
-fn plain<E>(rest: impl Into<Value>) -> Result<Told, E> {
+/// A value that is not an object: conversion reports its missing fields.
+fn not_an_object<E>(rest: impl Into<Value>) -> Result<Told, E> {
     Ok(Told { rest: rest.into(), ..Told::default() })
 }
 
-impl<'de> Visitor<'de> for Whole {
+impl<'de> Visitor<'de> for RawSettingsVisitor {
     type Value = Told;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -164,49 +165,49 @@
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Told, A::Error> {
-        let (mut told, mut rest) = (Told::default(), Map::new());
+        let (mut settings, mut rest) = (Told::default(), Map::new());
         while let Some(key) = map.next_key::<String>()? {
             match key.as_str() {
                 "classes" => {
                     let mut seen = HashSet::new();
-                    let one = |c: &Value| class(c, &mut seen);
-                    told.classes = map.next_value_seed(Elements { key: "classes", one })?;
+                    let convert = |c: &Value| class(c, &mut seen);
+                    settings.classes = map.next_value_seed(Elements { key: "classes", convert })?;
                 }
                 "accounts" => {
-                    told.tenants = map.next_value_seed(Elements { key: "accounts", one: tenant })?;
+                    settings.tenants = map.next_value_seed(Elements { key: "accounts", convert: tenant })?;
                 }
                 _ => _ = rest.insert(key, map.next_value()?),
             }
         }
-        told.rest = Value::Object(rest);
-        Ok(told)
+        settings.rest = Value::Object(rest);
+        Ok(settings)
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, seq: A) -> Result<Told, A::Error> {
-        plain(Value::deserialize(SeqAccessDeserializer::new(seq))?)
+        not_an_object(Value::deserialize(SeqAccessDeserializer::new(seq))?)
     }
 
     fn visit_unit<E>(self) -> Result<Told, E> {
-        plain(Value::Null)
+        not_an_object(Value::Null)
     }
 
     fn visit_bool<E>(self, v: bool) -> Result<Told, E> {
-        plain(v)
+        not_an_object(v)
     }
 
     fn visit_i64<E>(self, v: i64) -> Result<Told, E> {
-        plain(v)
+        not_an_object(v)
     }
 
     fn visit_u64<E>(self, v: u64) -> Result<Told, E> {
-        plain(v)
+        not_an_object(v)
     }
 
     fn visit_f64<E>(self, v: f64) -> Result<Told, E> {
-        plain(v)
+        not_an_object(v)
     }
 
     fn visit_str<E: de::Error>(self, v: &str) -> Result<Told, E> {
-        plain(v)
+        not_an_object(v)
     }
 }
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -1,4 +1,4 @@
-//! The control address on real sockets: ready, drain and return under load.
+//! The control interface on real sockets: readiness, drain and return to service under load.
 
 mod net;
 
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-async fn started(setup: Setup) -> (Node, std::sync::Arc<Farm>) {
+async fn start_with_agent(setup: Setup) -> (Node, std::sync::Arc<Farm>) {
     let (agents, agent) = bind().await;
     let farm = Farm::new(2);
     tokio::spawn(farm.clone().agent(agents));
@@ -18,19 +18,19 @@
     (node, farm)
 }
 
-/// Out of service, the very next check is bad and the directory hears of it; what arrives is served all the same. Back in
-/// service, checks are good again. Ready is about taking clients and stays a yes.
+/// Once a node is out of service, the next health check fails and the directory is told, but arriving requests are still
+/// served. Back in service, health checks succeed again. `ready` reports whether clients are accepted and stays 200.
 #[tokio::test]
-async fn drain_and_return_under_load() {
+async fn a_node_out_of_service_fails_health_checks_but_serves_requests() {
     let heard = Heard::default();
     let (directories, lookup) = bind().await;
     tokio::spawn(http(directories, "lookup", heard.clone(), "HTTP/1.1 204 No Content\r\n\r\n"));
-    let (node, _farm) = started(Setup { lookup: Some(lookup), ..Setup::default() }).await;
+    let (node, _farm) = start_with_agent(Setup { lookup: Some(lookup), ..Setup::default() }).await;
     let mut c = Caller::connect(node.msgpack).await;
     c.healthy().await;
     assert_eq!(node.control("GET", "ready").await, Some(200));
-    // A turn that the next one overtakes need not be told.
-    let listed = async |open: bool| {
+    // The directory may miss a change that the next one supersedes.
+    let wait_until_listed = async |open: bool| {
         within("the directory", async {
             while heard.lock().unwrap().last().is_none_or(|h| h.1.contains("open") != open) {
                 sleep(Duration::from_millis(2)).await;
@@ -38,7 +38,7 @@
         })
         .await;
     };
-    listed(true).await;
+    wait_until_listed(true).await;
     for (round, (order, good)) in
         [("out-of-service", false), ("out-of-service", false), ("in-service", true), ("in-service", true)]
             .into_iter()
@@ -50,30 +50,33 @@
         let mut check = Caller::connect(node.msgpack).await;
         assert_eq!(check.health(1).await, good, "the next check after {order}");
         c.ask(id + 1, "quote", fields(&format!("q{round}"), &[]), &format!("1 q{round}")).await;
-        let mut words = vec![c.answer().await.expect("an answer"), c.answer().await.expect("an answer")];
-        words.sort_by_key(|a| a.id);
-        assert!(words.iter().all(|a| a.word == "ok"), "{words:?}");
+        let mut answers = vec![
+            c.answer().await.expect("the request is answered"),
+            c.answer().await.expect("the request is answered"),
+        ];
+        answers.sort_by_key(|a| a.id);
+        assert!(answers.iter().all(|a| a.word == "ok"), "{answers:?}");
         assert_eq!(node.control("GET", "ready").await, Some(200));
-        listed(good).await;
+        wait_until_listed(good).await;
     }
     let modes: Vec<bool> = heard.lock().unwrap().iter().map(|h| h.1.contains("open")).collect();
-    let mut turns = modes.clone();
-    turns.dedup();
-    assert_eq!(turns, [true, false, true], "the directory hears of each turn: {modes:?}");
+    let mut changes = modes.clone();
+    changes.dedup();
+    assert_eq!(changes, [true, false, true], "the directory is told of each change: {modes:?}");
     let (_, good, log) = node.leave().await;
     assert!(good && log.contains("OutOfService"), "{log}");
 }
 
-/// Silent and unfinished connections hold up nobody, a call in pieces is a call, and faults are told apart.
+/// Silent and unfinished connections don't delay other calls, a fragmented call is carried out, and each fault has its status.
 #[tokio::test]
-async fn bad_callers_hold_up_nobody() {
-    let (node, _farm) = started(Setup::default()).await;
+async fn silent_connections_do_not_delay_other_calls() {
+    let (node, _farm) = start_with_agent(Setup::default()).await;
     Caller::connect(node.msgpack).await.healthy().await;
     let mut silent = Vec::new();
     for n in 0..40 {
-        let mut s = TcpStream::connect(node.console).await.expect("a connection");
+        let mut s = TcpStream::connect(node.console).await.expect("the control address accepts a connection");
         if n % 2 == 0 {
-            s.write_all(b"GET /control/rea").await.expect("sent");
+            s.write_all(b"GET /control/rea").await.expect("the bytes are sent");
         }
         silent.push(s);
     }
@@ -81,9 +84,10 @@
     assert_eq!(node.control("POST", "ready").await, Some(405));
     assert_eq!(node.control("GET", "counters").await, Some(404));
     assert_eq!(control(node.console, b"\x01\x02\r\n\r\n").await, Some(400));
-    let mut pieces = TcpStream::connect(node.console).await.expect("a connection");
+    let mut pieces =
+        TcpStream::connect(node.console).await.expect("the control address accepts a connection");
     for b in b"POST /control/out-of-service HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc" {
-        pieces.write_all(&[*b]).await.expect("sent");
+        pieces.write_all(&[*b]).await.expect("the bytes are sent");
         tokio::task::yield_now().await;
     }
     within("the order", async {
@@ -94,33 +98,32 @@
     .await;
 }
 
-/// With all the system's descriptors used up by callers who are owed answers for longer than the test waits, so that
-/// nobody makes room, the console
-/// still answers.
+/// The control interface answers while open connections use up all descriptors. Their requests run for longer than the
+/// test, so that no connection can be closed to make room.
 #[tokio::test]
-async fn answers_with_descriptors_used_up() {
+async fn the_console_answers_while_no_descriptor_is_free() {
     let settings = settings(2, 100_000, 500_000);
-    let (node, _farm) = started(Setup { settings, files_later: Some(40), ..Setup::default() }).await;
+    let (node, _farm) = start_with_agent(Setup { settings, files_later: Some(40), ..Setup::default() }).await;
     Caller::connect(node.msgpack).await.healthy().await;
-    let mut crowd = Vec::new();
+    let mut busy_callers = Vec::new();
     for n in 0..60 {
         let mut c = Caller::connect(node.msgpack).await;
         c.ask(1, "quote", fields(&format!("c{n}"), &[]), &format!("60000 c{n}")).await;
-        crowd.push(c);
+        busy_callers.push(c);
     }
     sleep(Duration::from_millis(100)).await;
     for _ in 0..5 {
         assert_eq!(node.control("GET", "ready").await, Some(200));
     }
-    drop(crowd);
+    drop(busy_callers);
     let (_, _, log) = node.leave().await;
     assert!(log.contains("Too many open files"), "descriptors did run out: {log}");
 }
 
-/// A node that leaves takes no orders, and says why.
+/// A node that is stopping reports that it is not ready and refuses orders with a conflict.
 #[tokio::test]
-async fn no_orders_while_leaving() {
-    let (node, _farm) = started(Setup { stop_ms: 2_500, ..Setup::default() }).await;
+async fn a_stopping_node_refuses_orders() {
+    let (node, _farm) = start_with_agent(Setup { stop_ms: 2_500, ..Setup::default() }).await;
     let mut c = Caller::connect(node.msgpack).await;
     c.healthy().await;
     c.ask(1_000, "book-job", fields("w", &[]), "600 w").await;
@@ -132,5 +135,5 @@
     })
     .await;
     assert_eq!(node.control("POST", "in-service").await, Some(409));
-    assert_eq!(c.answer().await.expect("an answer").word, "ok");
+    assert_eq!(c.answer().await.expect("the request is answered").word, "ok");
 }
--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -1,4 +1,5 @@
-//! The operators' files and the command line: what is good, what is refused and where, and what is in force.
+//! The operators' files through the command line: valid files are accepted, invalid values are refused with their line, and
+//! the settings in force are shown.
 
 mod net;
 
@@ -7,6 +8,7 @@
 
 use net::*;
 
+/// A temporary folder with a node's configuration files; removed on drop.
 struct Files(PathBuf);
 
 impl Drop for Files {
@@ -28,6 +30,7 @@
         Files(dir)
     }
 
+    /// Runs `holdlift` in the folder; returns whether it succeeded, and its standard output and error.
     fn run(&self, args: &[&str]) -> (bool, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_holdlift"));
         command
@@ -99,9 +102,11 @@
     std::fs::copy("deploy/edge.toml", files.0.join("edge.toml")).unwrap();
     let (good, text) = files.run(&["config", "show", "--edge", "edge.toml"]);
     assert!(good, "{text}");
-    let some =
+    let is_compared =
         |line: &&str| !line.starts_with("settings.") || line.contains("quote") || line.contains("round");
-    insta::assert_snapshot!(text.lines().filter(some).map(str::trim_end).collect::<Vec<_>>().join("\n"));
+    insta::assert_snapshot!(
+        text.lines().filter(is_compared).map(str::trim_end).collect::<Vec<_>>().join("\n")
+    );
     let (good, text) = files.run(&["check", "--edge", "edge.toml"]);
     assert!(
         good && text.contains("field: Uwsgi on 127.0.0.1:3032, field profile, 256 connections"),
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,4 +1,4 @@
-//! New configurations under load.
+//! Reloads of the configuration under load.
 
 mod net;
 
@@ -8,24 +8,29 @@
 use net::*;
 use tokio::time::sleep;
 
-/// SIGHUP once ended the process. Now what runs goes on, and agent, ledger and directory are met where the file says;
-/// a file that is no good changes nothing.
+/// A reload on SIGHUP keeps running work and moves to the agent, ledger and directory of the new file; an invalid file
+/// changes nothing. SIGHUP once ended the process.
 #[tokio::test]
-async fn a_new_configuration_moves_the_node() {
+async fn a_reload_moves_to_the_new_agent_ledger_and_directory() {
     let heard = Heard::default();
     let farm = Farm::new(2);
-    let mut places = Vec::new();
-    for who in ["old", "new"] {
+    let mut addresses = Vec::new();
+    for generation in ["old", "new"] {
         let ((agents, agent), (ledgers, ledger), (directories, lookup)) =
             (bind().await, bind().await, bind().await);
         tokio::spawn(farm.clone().agent(agents));
-        tokio::spawn(http(ledgers, who, heard.clone(), "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"));
-        // The old directory never answers, which must not hold up the news for the new one.
-        let reply = if who == "new" { "HTTP/1.1 204 No Content\r\n\r\n" } else { "" };
-        tokio::spawn(http(directories, who, heard.clone(), reply));
-        places.push((agent, ledger, lookup));
+        tokio::spawn(http(
+            ledgers,
+            generation,
+            heard.clone(),
+            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
+        ));
+        // The old directory never answers, which must not delay the report to the new one.
+        let reply = if generation == "new" { "HTTP/1.1 204 No Content\r\n\r\n" } else { "" };
+        tokio::spawn(http(directories, generation, heard.clone(), reply));
+        addresses.push((agent, ledger, lookup));
     }
-    let (agent, ledger, lookup) = places[0];
+    let (agent, ledger, lookup) = addresses[0];
     let [agent, ledger, lookup] = [agent, ledger, lookup].map(Some);
     let setup = Setup { settings: settings(2, 3_000, 6_000), agent, ledger, lookup, ..Setup::default() };
     let node = setup.start().await;
@@ -33,10 +38,10 @@
     c.healthy().await;
     c.ask(1_000, "book-job", fields("w1", &[]), "gate w1").await;
     c.ask(1_001, "quote", fields("q1", &[]), "1 call q1").await;
-    assert_eq!(c.answer().await.expect("an answer").id, 1_001);
+    assert_eq!(c.answer().await.expect("the request is answered").id, 1_001);
     node.reconfigure(&[("agent", "nowhere".into())]);
     node.reload().await;
-    let (agent, ledger, lookup) = places[1];
+    let (agent, ledger, lookup) = addresses[1];
     let [agent, ledger, lookup] = [agent, ledger, lookup].map(|a| a.to_string().into());
     node.reconfigure(&[("agent", agent), ("ledger", ledger), ("lookup", lookup)]);
     node.reload().await;
@@ -46,14 +51,17 @@
         }
     })
     .await;
-    assert_eq!(farm.running.load(Ordering::SeqCst), 1, "what runs goes on");
+    assert_eq!(farm.running.load(Ordering::SeqCst), 1, "the reload leaves the running work alone");
     farm.open_gate();
     c.ask(1_002, "quote", fields("q2", &[]), "1 call q2").await;
-    let mut words = vec![c.answer().await.expect("an answer"), c.answer().await.expect("an answer")];
-    words.sort_by_key(|a| a.id);
-    let words: Vec<_> = words.into_iter().map(|a| (a.id, a.word, a.body)).collect();
+    let mut answers = vec![
+        c.answer().await.expect("the request is answered"),
+        c.answer().await.expect("the request is answered"),
+    ];
+    answers.sort_by_key(|a| a.id);
+    let answers: Vec<_> = answers.into_iter().map(|a| (a.id, a.word, a.body)).collect();
     let ok = |id, body: &'static str| (id, "ok".to_owned(), body.into());
-    assert_eq!(words, [ok(1_000, "done w1"), ok(1_002, "done q2")]);
+    assert_eq!(answers, [ok(1_000, "done w1"), ok(1_002, "done q2")]);
     let mut launches = farm.launches.lock().unwrap().clone();
     launches.sort();
     assert_eq!(launches, ["q1", "q2", "w1"], "nothing is launched twice");
@@ -62,13 +70,14 @@
     let (_, good, log) = node.leave().await;
     assert!(good && log.contains("reloads=1") && log.contains("links=2"), "{log}");
     assert!(log.contains("nothing changed"), "{log}");
-    let last = heard.lock().unwrap().last().cloned().expect("a report");
+    let last = heard.lock().unwrap().last().cloned().expect("the directory received a report");
     assert_eq!(last, ("new", r#"PUT /dir/nodes/n0 HTTP/1.1 {"mode":"closed"}"#.to_owned()));
 }
 
-/// Drain: amid a move to an agent that nobody has ever met, and a flood, all is answered and the process gone in time.
+/// Drain during a move to an agent address that nothing listens on, and a flood of invalid requests: open requests are
+/// answered and the process ends in time.
 #[tokio::test]
-async fn leaving_amid_a_move_and_a_flood() {
+async fn a_drain_during_an_agent_move_and_a_flood_answers_open_requests() {
     let (agents, agent) = bind().await;
     let farm = Farm::new(2);
     tokio::spawn(farm.clone().agent(agents));
@@ -97,11 +106,14 @@
     });
     node.reloaded(1).await;
     let leaving = tokio::spawn(node.leave());
-    let mut words = vec![c.answer().await.expect("an answer"), c.answer().await.expect("an answer")];
-    words.sort_by_key(|a| a.id);
-    let words: Vec<_> = words.into_iter().map(|a| (a.id, a.word)).collect();
-    assert_eq!(words, [(1_000, "ok".to_owned()), (1_001, "Error".to_owned())]);
-    let (took, good, log) = leaving.await.expect("left");
+    let mut answers = vec![
+        c.answer().await.expect("the request is answered"),
+        c.answer().await.expect("the request is answered"),
+    ];
+    answers.sort_by_key(|a| a.id);
+    let answers: Vec<_> = answers.into_iter().map(|a| (a.id, a.word)).collect();
+    assert_eq!(answers, [(1_000, "ok".to_owned()), (1_001, "Error".to_owned())]);
+    let (took, good, log) = leaving.await.expect("the node ended");
     flood.abort();
     assert!(good && took < BY_ITSELF, "{took:?} {log}");
     assert!(log.contains("reloads=1") && log.contains("links=1"), "{log}");
--- a/tests/settings_alone.rs
+++ b/tests/settings_alone.rs
@@ -1,5 +1,5 @@
-//! What a deployment is comes from its settings alone: a node of any made-up one works by its names and figures, and the
-//! program's source knows none of a real one's.
+//! Settings alone define a deployment: a node works by the names and values of any generated settings, and the program's
+//! source contains no name of a real deployment.
 
 mod common;
 
@@ -8,8 +8,8 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
 
-/// Settings that nobody has: names, classes, effects, deadlines, windows, tenants, costs and limits by lot.
-fn made_up(seed: u64) -> Value {
+/// Random settings: names, classes, effects, deadlines, windows, tenants, costs and limits.
+fn random_settings(seed: u64) -> Value {
     let mut r = ChaCha8Rng::seed_from_u64(seed);
     let word = |r: &mut ChaCha8Rng| -> String {
         (0..r.random_range(3..12)).map(|_| char::from(r.random_range(b'a'..=b'z'))).collect()
@@ -39,15 +39,15 @@
         "replicas-of-me": r.random_range(0..40u32), "round-us": 5_000})
 }
 
-/// Under each of them every request has one answer by its own class's deadline, no work that must not runs twice, nothing that
-/// comes after that deployment's grace starts, and memory stays within that deployment's.
+/// Under any settings, every request has one answer by its class's deadline, no work that must not be repeated runs twice,
+/// no request that arrives after the drain grace starts, and memory stays within the settings' limit.
 #[test]
-fn any_deployment_is_served_by_its_own_figures() {
+fn random_settings_are_respected_in_deadlines_effects_grace_and_memory() {
     for seed in 0..60 {
-        let told = made_up(seed);
-        let s = holdlift::settings::from_json(&told).expect("settings");
-        s.validate().expect("settings that can be");
-        for (c, t) in s.classes.iter().zip(told["classes"].as_array().expect("a list")) {
+        let json = random_settings(seed);
+        let s = holdlift::settings::from_json(&json).expect("random settings are readable");
+        s.validate().expect("random settings are valid");
+        for (c, t) in s.classes.iter().zip(json["classes"].as_array().expect("classes are a list")) {
             assert_eq!(
                 (c.name.as_str(), c.deadline.0),
                 (t["name"].as_str().unwrap(), t["deadline-us"].as_u64().unwrap())
@@ -55,12 +55,12 @@
             assert_eq!(c.window.0, t["memory-span-us"].as_u64().unwrap());
         }
         let mut r = ChaCha8Rng::seed_from_u64(seed);
-        let mut policy = Policy::new(s.clone(), seed).expect("settings");
-        // Requests by number: when each came and by when it is owed an answer; then its answers and starts.
-        let mut asked: Vec<(Micros, Micros, usize)> = Vec::new();
+        let mut policy = Policy::new(s.clone(), seed).expect("the policy accepts valid settings");
+        // Per request id: arrival time, deadline and class; then the counts of its answers and starts.
+        let mut requests: Vec<(Micros, Micros, usize)> = Vec::new();
         let (mut answers, mut starts) = (vec![0u32; 4_000], vec![0u32; 4_000]);
-        // What each takes up, kB, while it is held, runs or is paused; and the kept keys.
-        let (mut takes, mut kept) = (vec![0.0f64; 4_000], std::collections::BTreeMap::new());
+        // Memory of each request, kB, while it is held, runs or is paused; and the expiry of each retained key.
+        let (mut memory_kb_of, mut retained_keys) = (vec![0.0f64; 4_000], std::collections::BTreeMap::new());
         let (mut running, mut events): (Vec<(Micros, RequestId, Micros)>, Vec<Event>) =
             (Vec::new(), Vec::new());
         let (start, notice) = (Micros(1_000_000), Micros(9_000_000));
@@ -68,14 +68,14 @@
         let (mut timers, mut open, mut seen) = (Vec::new(), Vec::new(), 0);
         let mut now = start;
         while now < notice + longest + Micros(400_000) {
-            if now < notice + s.drain_grace + Micros(300_000) && asked.len() < 3_900 {
+            if now < notice + s.drain_grace + Micros(300_000) && requests.len() < 3_900 {
                 for _ in 0..r.random_range(0..4) {
                     let class = r.random_range(0..s.classes.len());
-                    let id = asked.len() as u32;
-                    asked.push((now, now + s.classes[class].deadline, class));
+                    let id = requests.len() as u32;
+                    requests.push((now, now + s.classes[class].deadline, class));
                     let rank = r.random_range(0.0..1.0);
                     let held_kb = r.random_range(1.0..40.0);
-                    takes[id as usize] = held_kb;
+                    memory_kb_of[id as usize] = held_kb;
                     events.push(Event::Arrived(Request { rank, held_kb, ..common::request(id, class) }));
                 }
             }
@@ -85,9 +85,9 @@
             running.retain(|(at, id, lag)| {
                 if *at <= now {
                     events.push(Event::RunEnded(*id, Outcome::Good, *lag));
-                    // One that was failed meanwhile has its answer, and ran to its end.
+                    // A request that failed meanwhile has its answer already, and its run went on to its end.
                     answers[id.0 as usize] = answers[id.0 as usize].max(1);
-                    takes[id.0 as usize] = 0.0;
+                    memory_kb_of[id.0 as usize] = 0.0;
                 }
                 *at > now
             });
@@ -98,30 +98,33 @@
                 *at > now
             });
             let mut out = Vec::new();
-            policy.step(now, &events, &mut out).expect("events that fit");
+            policy.step(now, &events, &mut out).expect("the events are consistent with the policy's state");
             events.clear();
             for action in out {
                 match action {
                     Action::Run(id) => {
                         starts[id.0 as usize] += 1;
                         if starts[id.0 as usize] == 1 {
-                            takes[id.0 as usize] *= s.run_memory_factor;
+                            memory_kb_of[id.0 as usize] *= s.run_memory_factor;
                         }
-                        let (arrived, ..) = asked[id.0 as usize];
+                        let (arrived, ..) = requests[id.0 as usize];
                         let late = arrived >= notice + s.drain_grace;
-                        assert!(!late, "seed {seed}: {id:?} came {arrived:?}, after the grace");
+                        assert!(
+                            !late,
+                            "seed {seed}: {id:?} arrived at {arrived:?}, after the grace, and ran"
+                        );
                         let lag = Micros(r.random_range(1_000..200_000));
                         running.push((now + lag, id, lag));
                     }
                     Action::Refuse { id, .. } => {
                         answers[id.0 as usize] += 1;
-                        takes[id.0 as usize] = 0.0;
+                        memory_kb_of[id.0 as usize] = 0.0;
                         assert_eq!(starts[id.0 as usize], 0, "seed {seed}: {id:?} ran and was refused");
                     }
                     Action::Fail(id) => {
                         answers[id.0 as usize] += 1;
                         if !running.iter().any(|(_, of, _)| *of == id) {
-                            takes[id.0 as usize] = 0.0;
+                            memory_kb_of[id.0 as usize] = 0.0;
                         }
                     }
                     Action::Stop(id) => {
@@ -129,64 +132,67 @@
                             running.swap_remove(i);
                             events.push(Event::RunEnded(id, Outcome::Cancelled, Micros(1)));
                             if answers[id.0 as usize] > 0 {
-                                takes[id.0 as usize] = 0.0;
+                                memory_kb_of[id.0 as usize] = 0.0;
                             }
                         }
                     }
-                    Action::RetainKey(id, span) => _ = kept.insert(id, now + span),
-                    Action::ForgetKey(id) => _ = kept.remove(&id),
+                    Action::RetainKey(id, span) => _ = retained_keys.insert(id, now + span),
+                    Action::ForgetKey(id) => _ = retained_keys.remove(&id),
                     Action::Timer(token, after) => timers.push((now + after, token)),
                     _ => {}
                 }
             }
-            kept.retain(|_, until| *until > now);
-            let memory = takes[..asked.len()].iter().sum::<f64>() + kept.len() as f64 * s.key_entry_kb;
+            retained_keys.retain(|_, until| *until > now);
+            let memory = memory_kb_of[..requests.len()].iter().sum::<f64>()
+                + retained_keys.len() as f64 * s.key_entry_kb;
             assert!(memory <= s.memory_kb, "seed {seed}: {memory:.0} of {:.0} kB", s.memory_kb);
-            open.extend(seen..asked.len());
-            seen = asked.len();
+            open.extend(seen..requests.len());
+            seen = requests.len();
             open.retain(|id| {
-                let (given, (_, due, class)) = (answers[*id], asked[*id]);
+                let (given, (_, due, class)) = (answers[*id], requests[*id]);
                 assert!(given == 1 || now < due + s.answer_slack, "seed {seed}: {id} has no answer in time");
-                let again = s.stop_mode == StopMode::Freeze || s.classes[class].effect == Effect::Retryable;
-                assert!(starts[*id] <= 1 || again, "seed {seed}: {id} started {} times", starts[*id]);
+                let may_run_again =
+                    s.stop_mode == StopMode::Freeze || s.classes[class].effect == Effect::Retryable;
+                assert!(starts[*id] <= 1 || may_run_again, "seed {seed}: {id} started {} times", starts[*id]);
                 given == 0
             });
             now = now + Micros(5_000);
         }
         assert!(answers.iter().all(|n| *n <= 1), "seed {seed}: more than one answer");
-        assert!(asked.len() > 500, "seed {seed}: {} asked", asked.len());
+        assert!(requests.len() > 500, "seed {seed}: {} requests", requests.len());
     }
 }
 
-/// Names that are the operators' own, of deployments that lie about: none is in the program or its deploy file.
+/// No name of an operator's deployment occurs in the program's source or its deployment file.
 #[test]
-fn the_program_knows_no_deployment() {
+fn the_source_contains_no_name_of_a_deployment() {
     let mut names = Vec::new();
-    for entry in std::fs::read_dir("deploy/sites").expect("variants") {
-        let path = entry.expect("an entry").path();
+    for entry in std::fs::read_dir("deploy/sites").expect("deploy/sites is readable") {
+        let path = entry.expect("the folder entry is readable").path();
         if path.extension().is_none_or(|e| e != "toml") {
             continue;
         }
         let site: toml::Value =
-            toml::from_str(&std::fs::read_to_string(&path).expect("a file")).expect("TOML");
-        names.push(site["name"].as_str().expect("a name").to_owned());
+            toml::from_str(&std::fs::read_to_string(&path).expect("the file is readable"))
+                .expect("the site file is TOML");
+        names.push(site["name"].as_str().expect("the entry has a name").to_owned());
         for list in ["class", "tenant", "tier"] {
             let of = site.get(list).and_then(toml::Value::as_array).into_iter().flatten();
-            names.extend(of.map(|v| v["name"].as_str().expect("a name").to_owned()));
+            names.extend(of.map(|v| v["name"].as_str().expect("the entry has a name").to_owned()));
         }
     }
-    // And those that the operators' letters have named.
+    // Further names of deployments that have no file under deploy/sites.
     names.extend(
         ["cetak", "lautoka", "sinar", "book-job", "order-gate", "job-desk", "tramites"].map(str::to_owned),
     );
     assert!(names.len() > 25, "{names:?}");
-    // Words that are the field's own may stand in comments.
+    // These names are also ordinary words, which comments may use.
     names.retain(|n| !["track", "tariff", "manifest", "customs"].contains(&n.as_str()));
     let mut folders = vec![std::path::PathBuf::from("src")];
     let mut files = vec![std::path::PathBuf::from("deploy/balancer.toml")];
     while let Some(folder) = folders.pop() {
-        for entry in std::fs::read_dir(folder).expect("a folder") {
-            let path = entry.expect("an entry").path();
+        for entry in std::fs::read_dir(folder).expect("the folder is readable") {
+            let path = entry.expect("the folder entry is readable").path();
             if path.is_dir() {
                 folders.push(path);
             } else if path.extension().is_some_and(|e| e == "rs") {
@@ -195,7 +201,7 @@
         }
     }
     for file in files {
-        let text = std::fs::read_to_string(&file).expect("a file");
+        let text = std::fs::read_to_string(&file).expect("the file is readable");
         for name in &names {
             assert!(!text.contains(name.as_str()), "{}: {name}", file.display());
         }
