--- a/tests/settings_size.rs
+++ b/tests/settings_size.rs
@@ -1,4 +1,4 @@
-//! Settings of any size: what is looked up or put over others costs what it should, and is what a search would find.
+//! Settings of any size: lookups and merges cost no more than an index allows and give the results of a linear search.
 
 use std::cell::Cell;
 
@@ -14,44 +14,44 @@
 use serde_json::Value;
 
 thread_local! {
-    static READ: Cell<u32> = const { Cell::new(0) };
+    static NAMES_READ: Cell<u32> = const { Cell::new(0) };
 }
 
 /// An entry that counts how often its name is read.
 #[derive(Clone)]
-struct Counted(String);
+struct CountedEntry(String);
 
-impl IndexedEntry for Counted {
+impl IndexedEntry for CountedEntry {
     type Summary = ();
 
     fn name(&self) -> &str {
-        READ.set(READ.get() + 1);
+        NAMES_READ.set(NAMES_READ.get() + 1);
         &self.0
     }
 
     fn summarize(_: &[Self]) {}
 }
 
-/// A name is found in as many steps as the list's length has bits: 100 times the entries, 7 names more that are read.
+/// A lookup reads about as many names as the list's length has bits: for 100 times the entries, 7 more names.
 #[test]
-fn no_list_is_searched() {
+fn a_lookup_by_name_reads_a_logarithmic_number_of_names() {
     for (n, most) in [(280u32, 12), (28_000, 18)] {
-        let list: IndexedList<Counted> = (0..n).map(|i| Counted(format!("tenant-{i}"))).collect();
+        let list: IndexedList<CountedEntry> = (0..n).map(|i| CountedEntry(format!("tenant-{i}"))).collect();
         list.build_index();
         for i in [0, 1, n / 2, n - 1] {
-            READ.set(0);
+            NAMES_READ.set(0);
             assert_eq!(list.find(&format!("tenant-{i}")), Some(i as usize));
-            assert!(READ.get() <= most, "{} names of {n} were read", READ.get());
+            assert!(NAMES_READ.get() <= most, "{} names of {n} were read", NAMES_READ.get());
         }
-        READ.set(0);
-        assert_eq!(list.find("nobody"), None);
-        assert!(READ.get() <= most, "{} names of {n} were read", READ.get());
+        NAMES_READ.set(0);
+        assert_eq!(list.find("absent"), None);
+        assert!(NAMES_READ.get() <= most, "{} names of {n} were read", NAMES_READ.get());
     }
 }
 
-/// Whoever changes a list has one of their own, with an index of its own.
+/// Changing a clone of a list leaves the original and its index as they were.
 #[test]
-fn a_changed_list_is_another_one() {
+fn a_changed_clone_has_its_own_entries_and_index() {
     let was: IndexedList<TenantSettings> = ["b", "a"].map(tenant).into_iter().collect();
     let mut is = was.clone();
     assert!(is.is_same_copy(&was) && is.find("a") == Some(1));
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn more_classes_than_fit_are_refused() {
-    let of = |n: usize| Settings {
+fn more_classes_than_the_limit_are_refused() {
+    let with_classes = |n: usize| Settings {
         cores: 1,
         memory_kb: 1.0,
         run_memory_factor: 1.0,
@@ -72,39 +72,39 @@
         classes: (0..n).map(|i| class(&format!("c{i}"), 1, 1.0, false)).collect(),
         ..Settings::default()
     };
-    assert_eq!(of(CLASSES_MAX).validate(), Ok(()));
-    let said = of(CLASSES_MAX + 1).validate().expect_err("too many");
-    assert_eq!(said, SettingsError::TooManyClasses(20_001));
-    assert_eq!(said.to_string(), "settings: 20001 classes; there may be 20000 at most");
+    assert_eq!(with_classes(CLASSES_MAX).validate(), Ok(()));
+    let error = with_classes(CLASSES_MAX + 1).validate().expect_err("one class above the limit is refused");
+    assert_eq!(error, SettingsError::TooManyClasses(20_001));
+    assert_eq!(error.to_string(), "settings: 20001 classes; there may be 20000 at most");
 }
 
 #[test]
-fn messages_name_a_few() {
+fn a_message_lists_eight_names_and_counts_the_rest() {
     let names: Vec<String> = (0..28_000).map(|i| format!("t{i}")).collect();
-    let said = |n: usize| few(names[..n].iter().map(String::as_str));
-    assert_eq!(said(0), "");
-    assert_eq!(said(2), "t0, t1");
-    assert_eq!(said(8), "t0, t1, t2, t3, t4, t5, t6, t7");
-    assert_eq!(said(28_000), "t0, t1, t2, t3, t4, t5, t6, t7 and 27992 more");
+    let listed = |n: usize| few(names[..n].iter().map(String::as_str));
+    assert_eq!(listed(0), "");
+    assert_eq!(listed(2), "t0, t1");
+    assert_eq!(listed(8), "t0, t1, t2, t3, t4, t5, t6, t7");
+    assert_eq!(listed(28_000), "t0, t1, t2, t3, t4, t5, t6, t7 and 27992 more");
 }
 
 fn tenant(name: &str) -> TenantSettings {
     TenantSettings { name: name.to_owned(), quota_per_s: 1.0 }
 }
 
-fn class(name: &str, deadline: u64, worth: f64, retired: bool) -> ClassSettings {
+fn class(name: &str, deadline: u64, weight: f64, retired: bool) -> ClassSettings {
     let deadline = Micros(deadline);
     ClassSettings {
         name: name.to_owned(),
         deadline,
         latency_objective: deadline,
-        priority_weight: worth,
+        priority_weight: weight,
         is_retired: retired,
         ..Default::default()
     }
 }
 
-/// What a search of the whole lists says, as it was done before there was an index.
+/// Checks each indexed result against a linear search of the whole lists.
 fn agrees_with_search(s: &Settings) -> Result<(), TestCaseError> {
     for name in NAMES.iter().copied().chain([""]) {
         let class = s.classes.iter().position(|c| c.name == name && !c.is_retired);
@@ -120,9 +120,9 @@
         s.active_classes().map(|c| c.latency_objective.as_secs_f64()).sum::<f64>()
     );
     for c in 0..s.classes.len() {
-        let worth = |c: usize| s.classes[c].priority_weight;
-        let below = (0..s.classes.len()).filter(|o| (worth(*o), *o) < (worth(c), c)).count();
-        prop_assert_eq!(s.rank(ClassId(c)), (below as f64 + 0.5) / s.classes.len() as f64, "rank of {}", c);
+        let weight = |c: usize| s.classes[c].priority_weight;
+        let lower = (0..s.classes.len()).filter(|o| (weight(*o), *o) < (weight(c), c)).count();
+        prop_assert_eq!(s.rank(ClassId(c)), (lower as f64 + 0.5) / s.classes.len() as f64, "rank of {}", c);
     }
     Ok(())
 }
@@ -131,9 +131,10 @@
 
 fn lists() -> impl Strategy<Value = (Vec<ClassSettings>, Vec<TenantSettings>)> {
     let one = (0..NAMES.len(), 1u64..4, -1i8..3, any::<bool>());
-    let worth = |w: i8| if w < 0 { -0.0 } else { f64::from(w) };
-    let of =
-        move |(n, deadline, w, retired): (usize, u64, i8, bool)| class(NAMES[n], deadline, worth(w), retired);
+    let weight = |w: i8| if w < 0 { -0.0 } else { f64::from(w) };
+    let of = move |(n, deadline, w, retired): (usize, u64, i8, bool)| {
+        class(NAMES[n], deadline, weight(w), retired)
+    };
     let tenants = proptest::collection::vec(0..NAMES.len(), 0..12);
     (
         proptest::collection::vec(one.prop_map(of), 0..12),
@@ -142,32 +143,32 @@
 }
 
 proptest! {
-    /// Of one name the first is found, as ever; what is retired is not.
+    /// Of several entries with one name the first is found; retired classes are not found.
     #[test]
     fn an_index_finds_what_a_search_finds((classes, tenants) in lists()) {
         let s = Settings { classes: classes.into(), tenants: tenants.into(), ..Settings::default() };
         agrees_with_search(&s)?;
     }
 
-    /// After any reloads in a row, too; and each slot in use says what it said.
+    /// The same holds after any sequence of reloads, and the settings of a slot in use never change.
     #[test]
-    fn so_it_is_after_any_reloads(told in proptest::collection::vec((lists(), any::<u64>()), 1..8)) {
+    fn after_any_reloads_the_index_agrees_and_used_slots_are_unchanged(reloads in proptest::collection::vec((lists(), any::<u64>()), 1..8)) {
         let mut s = Settings::default();
-        for ((mut classes, tenants), free) in told {
+        for ((mut classes, tenants), free) in reloads {
             classes.iter_mut().for_each(|c| c.is_retired = false);
             let mut seen = std::collections::HashSet::new();
             classes.retain(|c| seen.insert(c.name.clone()));
             let want = classes.clone();
-            let told = Settings { classes: classes.into(), tenants: tenants.into(), ..Settings::default() };
+            let new_settings = Settings { classes: classes.into(), tenants: tenants.into(), ..Settings::default() };
             let free = |c: ClassId| free >> (c.0 % 64) & 1 == 1;
-            let r = put_over(&s, told.clone(), free).expect("room");
+            let r = put_over(&s, new_settings.clone(), free).expect("a slot is free for each changed class");
             agrees_with_search(&r.settings)?;
             let mut live: Vec<_> = r.settings.active_classes().cloned().collect();
             let mut want = want;
             live.sort_by(|a, b| a.name.cmp(&b.name));
             want.sort_by(|a, b| a.name.cmp(&b.name));
             prop_assert_eq!(live, want);
-            prop_assert_eq!(&r.settings.tenants, &told.tenants);
+            prop_assert_eq!(&r.settings.tenants, &new_settings.tenants);
             let new: Vec<usize> = r.previous_classes.iter().map(|(to, _)| to.0).collect();
             for (i, was) in s.classes.iter().enumerate() {
                 let is = &r.settings.classes[i];
@@ -179,16 +180,16 @@
                 }
             }
             if r.previous_classes.is_empty() && r.retired.is_empty() {
-                prop_assert!(r.settings.classes.is_same_copy(&s.classes), "what stays is not copied");
+                prop_assert!(r.settings.classes.is_same_copy(&s.classes), "unchanged classes are not copied");
             }
             s = r.settings;
         }
     }
 }
 
-/// What a file lacks of the one in force, as it was found when both were held whole.
-fn lacking_of_both(in_force: &Value, told: &Value) -> Option<String> {
-    match (in_force, told) {
+/// Reference for [`lacking`]: compares two complete JSON values.
+fn lacking_of_both(in_force: &Value, replacement: &Value) -> Option<String> {
+    match (in_force, replacement) {
         (Value::Object(a), Value::Object(b)) => a.iter().find_map(|(key, was)| match b.get(key) {
             None if ["aim-stretch", "passes-deadline"].contains(&key.as_str()) => None,
             None => Some(key.clone()),
@@ -225,8 +226,8 @@
     })
 }
 
-/// A value with some keys and elements left out.
-fn cut(value: &Value, draws: &mut u64) -> Value {
+/// A copy of a value with some keys and elements left out.
+fn with_parts_removed(value: &Value, draws: &mut u64) -> Value {
     let mut draw = || {
         *draws = draws.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (*draws >> 60) > 1
@@ -234,11 +235,11 @@
     match value {
         Value::Object(map) => {
             let kept: Vec<_> = map.iter().filter(|_| draw()).collect();
-            kept.into_iter().map(|(k, v)| (k.clone(), cut(v, draws))).collect()
+            kept.into_iter().map(|(k, v)| (k.clone(), with_parts_removed(v, draws))).collect()
         }
         Value::Array(list) => {
             let kept: Vec<_> = list.iter().filter(|_| draw()).collect();
-            kept.into_iter().map(|v| cut(v, draws)).collect()
+            kept.into_iter().map(|v| with_parts_removed(v, draws)).collect()
         }
         other => other.clone(),
     }
@@ -247,24 +248,24 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// The small form of a file that is kept tells what another one lacks as the whole file did, by key and place; and so
-    /// it does of text.
+    /// The kept [`Shape`] of a file finds the same missing key, with the same path, as a comparison of complete values,
+    /// both for a parsed value and for text.
     #[test]
-    fn the_keys_of_a_file_tell_what_another_lacks(was in any_json(), other in any_json(), mut draws in any::<u64>()) {
-        for is in [cut(&was, &mut draws), other] {
+    fn a_shape_finds_the_missing_key_that_a_full_comparison_finds(was in any_json(), other in any_json(), mut draws in any::<u64>()) {
+        for is in [with_parts_removed(&was, &mut draws), other] {
             let want = lacking_of_both(&was, &is);
             prop_assert_eq!(lacking(&was, &is), want.clone());
-            let shape: Shape = serde_json::from_str(&was.to_string()).expect("JSON");
+            let shape: Shape = serde_json::from_str(&was.to_string()).expect("a serialized value is JSON");
             let text = is.to_string();
-            let said = shape.lacking(&mut serde_json::Deserializer::from_str(&text)).expect("JSON");
-            prop_assert_eq!(said, want);
+            let found = shape.lacking(&mut serde_json::Deserializer::from_str(&text)).expect("a serialized value is JSON");
+            prop_assert_eq!(found, want);
         }
     }
 }
 
-/// What is wrong with a text is said before what is wrong with a value of it, wherever that stands.
+/// A syntax error is reported before any invalid value, wherever each is in the text.
 #[test]
-fn what_is_wrong_is_said_in_order() {
+fn a_syntax_error_is_reported_before_an_invalid_value() {
     let table = [
         (
             r#"{"classes": [{"name": 1}], "accounts": [}"#,
