--- a/src/bin/holdlift/config.rs
+++ b/src/bin/holdlift/config.rs
@@ -290,7 +290,7 @@
     }
     if all.released < all.newest && !is_halted(all) {
         let first =
-            if all.canary_nodes.is_empty() { "nobody yet".to_owned() } else { all.canary_nodes.join(", ") };
+            if all.canary_nodes.is_empty() { "no node yet".to_owned() } else { all.canary_nodes.join(", ") };
         text += &format!(
             "on trial: version {} goes first to {first}; all others wait with version {}\n",
             all.newest, all.released
@@ -317,8 +317,8 @@
     text += &held_versions(all);
     for l in &all.lagging_nodes {
         let why = l.refused.as_ref().map_or(String::new(), |(of, why)| format!("; can't have {of}: {why}"));
-        let heard = l.last_seen_ms as f64 / 1e3;
-        text += &format!("  lags: {} at version {}, heard {heard:.1} s ago{why}\n", l.name, l.revision);
+        let seen_s = l.last_seen_ms as f64 / 1e3;
+        text += &format!("  lags: {} at version {}, heard {seen_s:.1} s ago{why}\n", l.name, l.revision);
     }
     let listed = u32::try_from(all.lagging_nodes.len()).unwrap_or(u32::MAX);
     if all.lagging > listed {
@@ -326,7 +326,7 @@
     }
     for name in &all.diverged {
         text += &format!(
-            "  {name} has another digest under that number: restart it, and tell who maintains this\n"
+            "  {name} has another digest under that number: restart it, and report this to the maintainers\n"
         );
     }
     text
--- a/src/bin/holdlift/fleet.rs
+++ b/src/bin/holdlift/fleet.rs
@@ -62,7 +62,7 @@
     let all = fetch(control_address(args.console)?, "GET", "fleet")?;
     let all: Value = serde_json::from_str(&all)?;
     let listing = if key == "zones" { &all[key][key] } else { &all[key] };
-    let rows = listing.as_array().ok_or("the node says nothing of that")?;
+    let rows = listing.as_array().ok_or("the node's response has no such list")?;
     if args.json {
         println!("{}", serde_json::to_string_pretty(&all[key])?);
         return Ok(());
@@ -90,6 +90,7 @@
     Ok(())
 }
 
+/// A JSON value as a table cell: strings without quotes.
 fn text(v: &Value) -> String {
     v.as_str().map_or_else(|| v.to_string(), str::to_owned)
 }
@@ -126,7 +127,7 @@
         }
         std::thread::sleep(ORDER_POLL_INTERVAL);
     }
-    Err("asked, but not heard to be agreed; look at `holdlift fleet zones`, and at the keepers".into())
+    Err("the order was sent, but the node did not report its agreement in time; see `holdlift fleet zones` and the replicas".into())
 }
 
 /// Makes one call to a node's control address and returns the body; a status other than 200 is an error with that body.
@@ -136,7 +137,9 @@
     stream.write_all(format!("{method} /control/{call} HTTP/1.1\r\nHost: node\r\n\r\n").as_bytes())?;
     let mut response = String::new();
     stream.read_to_string(&mut response)?;
-    let (head, body) = response.split_once("\r\n\r\n").ok_or("no answer")?;
+    let (head, body) = response
+        .split_once("\r\n\r\n")
+        .ok_or("the node closed the connection without a complete HTTP response")?;
     if head.split(' ').nth(1) != Some("200") {
         return Err(body.trim_end().into());
     }
