--- a/crates/holdlift-lab/src/scale/fleet_scene.rs
+++ b/crates/holdlift-lab/src/scale/fleet_scene.rs
@@ -169,7 +169,7 @@
             demand_ms: self.demand_ms,
             speaks: self.speaks,
         };
-        let told = Fleet::load(&setup.file, None)?.divided();
+        let told = Fleet::load(&setup.file, None)?.all_budgets();
         let mut hosts = Vec::new();
         for _ in 0..self.hosts.max(1) {
             let mut host = if self.processes { Host::process()? } else { Host::thread() };
--- a/crates/holdlift-lab/src/scale/hollow.rs
+++ b/crates/holdlift-lab/src/scale/hollow.rs
@@ -149,7 +149,7 @@
         let now = clock.now();
         let told = &world.fleet;
         let holder = LeaseHolderId { name: name.clone(), incarnation };
-        let purse = LeaseHolder::new(now, holder, 1, told.bounds, &told.divided());
+        let purse = LeaseHolder::new(now, holder, 1, told.bounds, &told.all_budgets());
         let me = Member {
             name,
             incarnation,
@@ -160,8 +160,8 @@
         };
         let keepers = told.keepers.iter().map(|(k, at)| (k.clone(), *at)).collect();
         let view = told.zones.as_ref().map(|z| {
-            let names = z.judged.zones.clone();
-            ZoneStatusCache::new(micros(now), names, &label, z.trust)
+            let names = z.evaluation.zones.clone();
+            ZoneStatusCache::new(micros(now), names, &label, z.decision_lifetime)
         });
         let following = told
             .catalog
--- a/crates/holdlift-lab/src/scale/hollow_config.rs
+++ b/crates/holdlift-lab/src/scale/hollow_config.rs
@@ -13,7 +13,7 @@
 
 use bytes::Bytes;
 use holdlift::Micros;
-use holdlift::config::fleet::Spread;
+use holdlift::config::fleet::RolloutSettings;
 use holdlift::config_store::{
     Advertised, AssemblyProgress, ChangeSet, ConfigVersion, FetchOutcome, FetchRequest, FetchResponse,
     FetchSchedule, Follower, Revision, SnapshotAssembler,
@@ -163,7 +163,7 @@
     world: Rc<World>,
     node: usize,
     lot: u64,
-    spread: Spread,
+    spread: RolloutSettings,
     follower: RefCell<Follower>,
     bell: Notify,
     to: Cell<usize>,
@@ -183,14 +183,14 @@
     Cold,
 }
 
-fn pace(spread: Spread) -> FetchSchedule {
+fn pace(spread: RolloutSettings) -> FetchSchedule {
     FetchSchedule { spread: spread.within, ..FetchSchedule::default() }
 }
 
 impl Following {
     /// That of a node; `lot` tells it from others.
     #[must_use]
-    pub fn new(world: Rc<World>, node: usize, lot: u64, spread: Spread, begin: Begin) -> Following {
+    pub fn new(world: Rc<World>, node: usize, lot: u64, spread: RolloutSettings, begin: Begin) -> Following {
         let version = match begin {
             Begin::Warm => world.catalog.borrow().newest.clone(),
             Begin::Cold => ConfigVersion::default(),
--- a/src/config/edge.rs
+++ b/src/config/edge.rs
@@ -26,7 +26,7 @@
 const RESERVED_DESCRIPTORS: usize = 28;
 /// Descriptors per listener beyond its connection limit: a new connection is accepted before the connection that is
 /// evicted for it has closed.
-pub const SPARE: usize = 16;
+pub const SPARE_DESCRIPTORS: usize = 16;
 /// Limit on the listeners in a file; more are taken as a mistake.
 const LISTENERS_MAX: usize = 32;
 
@@ -310,7 +310,7 @@
     fn check_descriptors(&self, config: &Config) -> Result<(), ConfigError> {
         let Some(doc) = &self.doc else { return Ok(()) };
         let sockets = config.limits.sockets;
-        let most = (sockets * 7 / 8).saturating_sub(SPARE * (self.listeners.len() + 1) + 1);
+        let most = (sockets * 7 / 8).saturating_sub(SPARE_DESCRIPTORS * (self.listeners.len() + 1) + 1);
         let mut sum = 0;
         for (i, l) in self.listeners.iter().enumerate() {
             sum += l.connections.unwrap_or(0);
@@ -328,20 +328,21 @@
     /// Limit on open connections of callers; at least [`RESERVED_DESCRIPTORS`] stay free. Callers open at most half of the
     /// descriptors, and other peers add to that. A quarter is left for sockets that this process opens. Where there are
     /// other listeners, they get an eighth, or as many as they ask for.
-    pub fn caller_room(&self, sockets: usize) -> usize {
-        let asked: usize = self.listeners.iter().map(|l| l.connections.unwrap_or(0) + SPARE).sum();
+    pub fn caller_connections_max(&self, sockets: usize) -> usize {
+        let asked: usize =
+            self.listeners.iter().map(|l| l.connections.unwrap_or(0) + SPARE_DESCRIPTORS).sum();
         let others = if self.listeners.is_empty() { 0 } else { sockets / 8 };
         let unreserved =
             (sockets * 7 / 8).saturating_sub(asked).min(sockets.saturating_sub(RESERVED_DESCRIPTORS));
-        (sockets * 3 / 4).saturating_sub(others).min(unreserved).saturating_sub(SPARE).max(1)
+        (sockets * 3 / 4).saturating_sub(others).min(unreserved).saturating_sub(SPARE_DESCRIPTORS).max(1)
     }
 
     /// The admission settings: the platform's listener first, then the others in file order.
-    pub fn door(&self, config: &Config) -> AdmissionSettings {
+    pub fn admission_settings(&self, config: &Config) -> AdmissionSettings {
         let memory = (config.limits.memory_mb << 20) as usize;
         let callers = ListenerSettings {
             profile: Profile::STRICT,
-            connections_max: self.caller_room(config.limits.sockets),
+            connections_max: self.caller_connections_max(config.limits.sockets),
             partial_message_max: 2 * FRAME_MAX,
         };
         let listener_settings = |l: &Listener| ListenerSettings {
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -139,7 +139,7 @@
 
 /// How the configuration that the replicas store reaches the nodes. Without it no node requests any.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Spread {
+pub struct RolloutSettings {
     /// Window within which a node fetches a newer revision, at a random offset of its own.
     pub within: Micros,
     /// Longest time that a starting node waits for the newest revision before it accepts clients.
@@ -169,7 +169,7 @@
 
 /// What consumes a budget.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Of {
+pub enum BudgetTarget {
     /// Calls to a tier.
     Tier(String),
     /// Retries and hedges at a tier beyond those that first attempts have earned.
@@ -184,7 +184,7 @@
     /// The capacity that is divided among the nodes.
     pub budget: Budget,
     /// What consumes it.
-    pub of: Of,
+    pub of: BudgetTarget,
 }
 
 /// The fleet file, checked.
@@ -205,7 +205,7 @@
     /// The zones, where the fleet takes them out of service and returns them as one.
     pub zones: Option<Zones>,
     /// How the agreed configuration reaches the nodes; `None` where it is off.
-    pub catalog: Option<Spread>,
+    pub catalog: Option<RolloutSettings>,
 }
 
 impl Fleet {
@@ -220,18 +220,18 @@
     fn read(doc: &Doc, node: Option<(&Tiers, &Settings)>) -> Result<Fleet, ConfigError> {
         let file: File = doc.read()?;
         let f = &file.fleet;
-        named(doc, &["fleet", "name"], &f.name)?;
-        within(doc, &["fleet", "lease_ms"], f.lease_ms, 200.0, 600_000.0, "ms")?;
-        within(doc, &["fleet", "drift"], f.drift, 0.0, 0.2, "as a share")?;
-        within(doc, &["fleet", "transit_ms"], f.transit_ms, 2.0, 60_000.0, "ms")?;
+        check_name(doc, &["fleet", "name"], &f.name)?;
+        check_range(doc, &["fleet", "lease_ms"], f.lease_ms, 200.0, 600_000.0, "ms")?;
+        check_range(doc, &["fleet", "drift"], f.drift, 0.0, 0.2, "as a share")?;
+        check_range(doc, &["fleet", "transit_ms"], f.transit_ms, 2.0, 60_000.0, "ms")?;
         if !REPLICA_COUNTS.contains(&file.keepers.len()) {
             let n = file.keepers.len();
             return Err(doc.bad(&["keepers"], format!("{n} keepers; right would be 1, 3 or 5")));
         }
         let mut replicas = BTreeMap::new();
         for (name, at) in &file.keepers {
-            named(doc, &["keepers", name], name)?;
-            let at = address(doc, &["keepers", name], at)?;
+            check_name(doc, &["keepers", name], name)?;
+            let at = parse_address(doc, &["keepers", name], at)?;
             if replicas.values().any(|other| *other == at) {
                 return Err(doc.bad(&["keepers", name], format!("{at} is another keeper's")));
             }
@@ -248,65 +248,67 @@
         }
         let mut budgets = Vec::new();
         for (name, b) in &file.budgets {
-            budgets.push(budget(doc, name, b, &f.transit_ms, node)?);
+            budgets.push(check_budget(doc, name, b, &f.transit_ms, node)?);
         }
         Ok(Fleet {
             file: doc.path.clone(),
             name: f.name.clone(),
             bounds: LeaseBounds { lease_duration: ms(f.lease_ms), drift: f.drift, transit: ms(f.transit_ms) },
-            here: here(doc, &file.here)?,
+            here: check_here(doc, &file.here)?,
             keepers: replicas,
             budgets,
             zones,
-            catalog: file.catalog.as_ref().map(|c| spread(doc, c)).transpose()?,
+            catalog: file.catalog.as_ref().map(|c| rollout_settings(doc, c)).transpose()?,
         })
     }
 
     /// All budgets that are divided: those of the file, then one per zone for its return to service.
-    pub fn divided(&self) -> Vec<Budget> {
+    pub fn all_budgets(&self) -> Vec<Budget> {
         let returns = self.zones.iter().flat_map(Zones::budgets);
         self.budgets.iter().map(|b| b.budget.clone()).chain(returns).collect()
     }
 
     /// For each tier the zones of its endpoints, and for each zone the index of its return budget; `None` without zones.
     pub fn routes(&self, tiers: &Tiers) -> Option<ZoneIndex> {
-        let zones = &self.zones.as_ref()?.judged.zones;
-        let place = |name: &String| zones.iter().position(|z| z == name);
-        let of = tiers.plans.tiers.iter().map(|t| t.zones.iter().map(place).collect()).collect();
+        let zones = &self.zones.as_ref()?.evaluation.zones;
+        let index = |name: &String| zones.iter().position(|z| z == name);
+        let of = tiers.plans.tiers.iter().map(|t| t.zones.iter().map(index).collect()).collect();
         let returns = (0..zones.len()).map(|z| self.budgets.len() + z).collect();
         Some(ZoneIndex { endpoint_zones: of, recovery_budgets: returns })
     }
 
     /// For each tier the indexes of the budgets that its calls and retries consume.
-    pub fn by_tier(&self, tiers: &Tiers) -> Vec<TierQuota> {
-        let places = |of: Of| self.places(&of).collect();
+    pub fn quota_by_tier(&self, tiers: &Tiers) -> Vec<TierQuota> {
+        let indexes = |of: BudgetTarget| self.indexes_of(&of).collect();
         let all = tiers.plans.tiers.iter().map(|t| &t.name);
         all.map(|name| TierQuota {
-            calls: places(Of::Tier(name.clone())),
-            retries: places(Of::Further(name.clone())),
+            calls: indexes(BudgetTarget::Tier(name.clone())),
+            retries: indexes(BudgetTarget::Further(name.clone())),
         })
         .collect()
     }
 
     /// For each tenant of the settings with a quota budget, the index of that budget.
-    pub fn by_member(&self, settings: &Settings) -> HashMap<TenantId, usize> {
+    pub fn budget_by_tenant(&self, settings: &Settings) -> HashMap<TenantId, usize> {
         let mut all = HashMap::new();
-        for (place, b) in self.budgets.iter().enumerate() {
-            if let Of::Member(name) = &b.of
+        for (index, b) in self.budgets.iter().enumerate() {
+            if let BudgetTarget::Member(name) = &b.of
                 && let Some(member) = settings.tenant(name)
             {
-                all.entry(member).or_insert(place);
+                all.entry(member).or_insert(index);
             }
         }
         all
     }
 
-    fn places<'a>(&'a self, of: &'a Of) -> impl Iterator<Item = usize> + 'a {
+    /// Indexes of the budgets with this target.
+    fn indexes_of<'a>(&'a self, of: &'a BudgetTarget) -> impl Iterator<Item = usize> + 'a {
         self.budgets.iter().enumerate().filter(move |(_, b)| b.of == *of).map(|(i, _)| i)
     }
 }
 
-pub(super) fn within(
+/// Checks that a value is within its range.
+pub(super) fn check_range(
     doc: &Doc,
     at: &[&str],
     x: f64,
@@ -320,27 +322,36 @@
     Err(doc.bad(at, format!("is {x}; it must be {least} to {most} {unit}")))
 }
 
-pub(super) fn named(doc: &Doc, at: &[&str], name: &str) -> Result<(), ConfigError> {
+/// Checks the length of a name.
+pub(super) fn check_name(doc: &Doc, at: &[&str], name: &str) -> Result<(), ConfigError> {
     if (1..=NAME_MAX).contains(&name.len()) {
         return Ok(());
     }
     Err(doc.bad(at, format!("a name has 1 to {NAME_MAX} bytes")))
 }
 
-fn address(doc: &Doc, at: &[&str], text: &str) -> Result<SocketAddr, ConfigError> {
-    let right = "right would be one such as \"127.0.0.1:7400\"";
-    text.parse().map_err(|_| doc.bad(at, format!("\"{text}\" is no address; {right}")))
+fn parse_address(doc: &Doc, at: &[&str], text: &str) -> Result<SocketAddr, ConfigError> {
+    let example = "right would be one such as \"127.0.0.1:7400\"";
+    text.parse().map_err(|_| doc.bad(at, format!("\"{text}\" is no address; {example}")))
 }
 
-fn spread(doc: &Doc, c: &CatalogFile) -> Result<Spread, ConfigError> {
-    within(doc, &["catalog", "spread_ms"], c.spread_ms, 0.0, 60_000.0, "ms")?;
-    within(doc, &["catalog", "start_ms"], c.start_ms, 0.0, 60_000.0, "ms")?;
-    within(doc, &["catalog", "served"], f64::from(c.served), 1.0, 1_000.0, "at a time")?;
-    within(doc, &["catalog", "first"], f64::from(c.first), 1.0, 64.0, "nodes")?;
-    within(doc, &["catalog", "bad"], f64::from(c.bad), 1.0, f64::from(c.first), "of those that go first")?;
-    within(doc, &["catalog", "hold_ms"], c.hold_ms, 0.0, 600_000.0, "ms")?;
+/// Checks the table `[catalog]`.
+fn rollout_settings(doc: &Doc, c: &CatalogFile) -> Result<RolloutSettings, ConfigError> {
+    check_range(doc, &["catalog", "spread_ms"], c.spread_ms, 0.0, 60_000.0, "ms")?;
+    check_range(doc, &["catalog", "start_ms"], c.start_ms, 0.0, 60_000.0, "ms")?;
+    check_range(doc, &["catalog", "served"], f64::from(c.served), 1.0, 1_000.0, "at a time")?;
+    check_range(doc, &["catalog", "first"], f64::from(c.first), 1.0, 64.0, "nodes")?;
+    check_range(
+        doc,
+        &["catalog", "bad"],
+        f64::from(c.bad),
+        1.0,
+        f64::from(c.first),
+        "of those that go first",
+    )?;
+    check_range(doc, &["catalog", "hold_ms"], c.hold_ms, 0.0, 600_000.0, "ms")?;
     // Nodes report at least once a second, and one or two reports may be lost.
-    within(doc, &["catalog", "patience_ms"], c.patience_ms, 2_000.0, 600_000.0, "ms")?;
+    check_range(doc, &["catalog", "patience_ms"], c.patience_ms, 2_000.0, 600_000.0, "ms")?;
     let trial = CanaryPolicy {
         max_canaries: c.first as usize,
         probation: ms(c.hold_ms),
@@ -348,26 +359,27 @@
         fetch_window: ms(c.spread_ms),
         failure_limit: c.bad as usize,
     };
-    Ok(Spread { within: ms(c.spread_ms), start: ms(c.start_ms), served: c.served as usize, trial })
+    Ok(RolloutSettings { within: ms(c.spread_ms), start: ms(c.start_ms), served: c.served as usize, trial })
 }
 
-fn here(doc: &Doc, h: &HereFile) -> Result<Here, ConfigError> {
+/// Checks the table `[here]`.
+fn check_here(doc: &Doc, h: &HereFile) -> Result<Here, ConfigError> {
     for (key, name) in [("zone", &h.zone), ("region", &h.region)] {
         if name.len() > NAME_MAX {
             return Err(doc.bad(&["here", key], format!("a name has {NAME_MAX} bytes at most")));
         }
     }
     let weight = h.weight.unwrap_or(1);
-    within(doc, &["here", "weight"], f64::from(weight), 1.0, 1_000.0, "against 1 of others")?;
+    check_range(doc, &["here", "weight"], f64::from(weight), 1.0, 1_000.0, "against 1 of others")?;
     let speed = h.drill_clock_speed.unwrap_or(1.0);
-    within(doc, &["here", "drill_clock_speed"], speed, 0.5, 2.0, "x")?;
+    check_range(doc, &["here", "drill_clock_speed"], speed, 0.5, 2.0, "x")?;
     let mut reach = BTreeMap::new();
     for (name, at) in &h.reach {
-        reach.insert(name.clone(), address(doc, &["here", "reach", name], at)?);
+        reach.insert(name.clone(), parse_address(doc, &["here", "reach", name], at)?);
     }
     let listen = h.listen.as_deref().unwrap_or("127.0.0.1:0");
     Ok(Here {
-        listen: address(doc, &["here", "listen"], listen)?,
+        listen: parse_address(doc, &["here", "listen"], listen)?,
         zone: h.zone.clone(),
         region: h.region.clone(),
         weight,
@@ -376,7 +388,8 @@
     })
 }
 
-fn budget(
+/// Checks one table of `[budgets]`; on a node, its tier or tenant must exist.
+fn check_budget(
     doc: &Doc,
     name: &str,
     b: &BudgetFile,
@@ -384,7 +397,7 @@
     node: Option<(&Tiers, &Settings)>,
 ) -> Result<FleetBudget, ConfigError> {
     let at = |key| ["budgets", name, key];
-    named(doc, &["budgets", name], name)?;
+    check_name(doc, &["budgets", name], name)?;
     if let Some((tiers, settings)) = node {
         let unknown = |key, name: &str, known| {
             Err(doc.bad(&at(key), format!("there is no {key} \"{name}\"; there are: {known}")))
@@ -398,9 +411,9 @@
         }
     }
     let of = match (&b.tier, &b.member) {
-        (Some(tier), None) if b.further.is_some() => Of::Further(tier.clone()),
-        (Some(tier), None) => Of::Tier(tier.clone()),
-        (None, Some(member)) if b.starts.is_some() => Of::Member(member.clone()),
+        (Some(tier), None) if b.further.is_some() => BudgetTarget::Further(tier.clone()),
+        (Some(tier), None) => BudgetTarget::Tier(tier.clone()),
+        (None, Some(member)) if b.starts.is_some() => BudgetTarget::Member(member.clone()),
         (None, Some(_)) => {
             return Err(doc.bad(&["budgets", name], "a member's quota has starts, and window_ms if not 1000"));
         }
@@ -412,7 +425,14 @@
                 let reason = "is missing: the longest that a call runs below, ms, from its spending";
                 return Err(doc.bad(&at("longest_ms"), reason));
             };
-            within(doc, &at("longest_ms"), longest, *transit_ms, 3_600_000.0, "ms, transit_ms at the least")?;
+            check_range(
+                doc,
+                &at("longest_ms"),
+                longest,
+                *transit_ms,
+                3_600_000.0,
+                "ms, transit_ms at the least",
+            )?;
             if b.window_ms.is_some() {
                 return Err(doc.bad(&at("window_ms"), "goes with starts; leave this out"));
             }
@@ -420,7 +440,7 @@
         }
         (None, Some(starts)) => {
             let window = b.window_ms.unwrap_or(1_000.0);
-            within(doc, &at("window_ms"), window, 10.0, 600_000.0, "ms")?;
+            check_range(doc, &at("window_ms"), window, 10.0, 600_000.0, "ms")?;
             if b.longest_ms.is_some() {
                 return Err(doc.bad(&at("longest_ms"), "goes with slots; leave this out"));
             }
@@ -433,8 +453,8 @@
         (None, Some(_)) => "starts",
         (None, None) => "further",
     };
-    within(doc, &at(key), f64::from(capacity), 0.0, 1e6, "over all nodes")?;
-    within(doc, &at("floor"), f64::from(b.floor), 0.0, f64::from(capacity), "for each node")?;
+    check_range(doc, &at(key), f64::from(capacity), 0.0, 1e6, "over all nodes")?;
+    check_range(doc, &at("floor"), f64::from(b.floor), 0.0, f64::from(capacity), "for each node")?;
     let scope = if b.by_zone { CapacityScope::Zones } else { CapacityScope::Fixed };
     let budget = Budget { name: name.to_owned(), kind, capacity, min_share: b.floor, scope };
     Ok(FleetBudget { budget, of })
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -22,7 +22,7 @@
     let on = on.replace("# start_ms", "start_ms").replace("# served", "served");
     let on = on.replace("# first", "first").replace("# bad", "bad").replace("# hold_ms", "hold_ms");
     let on = on.replace("# patience_ms", "patience_ms");
-    let defaults = Spread {
+    let defaults = RolloutSettings {
         within: Micros::from_millis(1_000),
         start: Micros::from_millis(3_000),
         served: 32,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::interface::{Settings, SettingsError};
 use crate::settings::shape::Shape;
-use crate::settings::told::Told;
+use crate::settings::told::RawSettings;
 
 /// Why a configuration can't be used.
 #[derive(Debug, Error)]
@@ -99,7 +99,7 @@
     #[serde(default)]
     pub limits: Limits,
     /// The decision module's settings, until they are converted.
-    settings: Told,
+    settings: RawSettings,
     /// The names of the agent's gauges.
     #[serde(skip)]
     gauge_names: Vec<String>,
@@ -215,7 +215,7 @@
     }
 
     /// A number that differs between the processes of a fleet, as a platform may give all of them one seed.
-    pub fn lot(&self) -> u64 {
+    pub fn process_seed(&self) -> u64 {
         use std::hash::{Hash, Hasher};
         let mut hasher = std::hash::DefaultHasher::new();
         (&self.seed, &self.name, std::process::id()).hash(&mut hasher);
--- a/src/config/show.rs
+++ b/src/config/show.rs
@@ -138,7 +138,7 @@
         edge.doc.as_ref().and_then(|d| Some(format!("{}:{}", d.path.display(), d.line(key_path)?)))
     };
     all.knobs("edge.limits.", LIMITS, &edge.limits, &Limits::default(), |k| at(&["limits", k]));
-    let admission = edge.door(config);
+    let admission = edge.admission_settings(config);
     all.add(
         "door.half_in".into(),
         Some(admission.partial_bytes_max.to_string()),
--- a/src/config/zones.rs
+++ b/src/config/zones.rs
@@ -8,7 +8,7 @@
 
 use super::ConfigError;
 use super::doc::Doc;
-use super::fleet::{named, within};
+use super::fleet::{check_name, check_range};
 use super::tiers::ms;
 use crate::fleet::{Budget, BudgetKind, CapacityScope, NAME_MAX};
 use crate::interface::Micros;
@@ -62,13 +62,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zones {
     /// Settings by which the leading replica evaluates zone health.
-    pub judged: EvaluatorSettings,
+    pub evaluation: EvaluatorSettings,
     /// Concurrent calls that each zone can serve, in the order of the zone names.
     pub bears: Vec<u32>,
     /// Longest time that a call into a zone runs downstream after it consumed its budget.
     pub longest: Micros,
     /// How long a node that hears from no replica follows the last decision.
-    pub trust: Micros,
+    pub decision_lifetime: Micros,
 }
 
 impl Zones {
@@ -78,19 +78,26 @@
             return Err(doc.bad(&at("bears"), format!("must name 1 to {MAX_ZONES} zones")));
         }
         for (zone, bears) in &f.bears {
-            named(doc, &["zones", "bears", zone], zone)?;
+            check_name(doc, &["zones", "bears", zone], zone)?;
             if zone.len() + RETURN.len() > NAME_MAX {
                 let most = NAME_MAX - RETURN.len();
                 return Err(
                     doc.bad(&["zones", "bears", zone], format!("a zone's name has {most} bytes at most"))
                 );
             }
-            within(doc, &["zones", "bears", zone], f64::from(*bears), 1.0, 1e6, "calls at a time")?;
+            check_range(doc, &["zones", "bears", zone], f64::from(*bears), 1.0, 1e6, "calls at a time")?;
         }
-        within(doc, &at("longest_ms"), f.longest_ms, transit_ms, 3_600_000.0, "ms, transit_ms at the least")?;
-        within(doc, &at("out_most"), f.out_most, 0.0, 0.9, "as a share of the zones")?;
-        within(doc, &at("out_ms"), f.out_ms, 100.0, 600_000.0, "ms")?;
-        within(
+        check_range(
+            doc,
+            &at("longest_ms"),
+            f.longest_ms,
+            transit_ms,
+            3_600_000.0,
+            "ms, transit_ms at the least",
+        )?;
+        check_range(doc, &at("out_most"), f.out_most, 0.0, 0.9, "as a share of the zones")?;
+        check_range(doc, &at("out_ms"), f.out_ms, 100.0, 600_000.0, "ms")?;
+        check_range(
             doc,
             &at("out_longest_ms"),
             f.out_longest_ms,
@@ -98,10 +105,10 @@
             3_600_000.0,
             "ms, out_ms at the least",
         )?;
-        within(doc, &at("step_ms"), f.step_ms, 100.0, 600_000.0, "ms")?;
-        within(doc, &at("trust_ms"), f.trust_ms, 500.0, 3_600_000.0, "ms")?;
+        check_range(doc, &at("step_ms"), f.step_ms, 100.0, 600_000.0, "ms")?;
+        check_range(doc, &at("trust_ms"), f.trust_ms, 500.0, 3_600_000.0, "ms")?;
         Ok(Zones {
-            judged: EvaluatorSettings {
+            evaluation: EvaluatorSettings {
                 zones: f.bears.keys().cloned().collect(),
                 max_out_share: f.out_most,
                 first_out_duration: ms(f.out_ms),
@@ -111,13 +118,13 @@
             },
             bears: f.bears.values().copied().collect(),
             longest: ms(f.longest_ms),
-            trust: ms(f.trust_ms),
+            decision_lifetime: ms(f.trust_ms),
         })
     }
 
     /// One budget per zone for its return to service, in the order of the zone names.
     pub fn budgets(&self) -> impl Iterator<Item = Budget> {
-        self.judged.zones.iter().zip(&self.bears).map(|(zone, bears)| Budget {
+        self.evaluation.zones.iter().zip(&self.bears).map(|(zone, bears)| Budget {
             name: format!("{RETURN}{zone}"),
             kind: BudgetKind::Slots { max_duration: self.longest },
             capacity: *bears,
--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -39,18 +39,18 @@
     /// The path is unknown.
     NotFound,
     /// The path takes another method.
-    Method {
+    MethodNotAllowed {
         /// The method that it takes.
         allow: &'static str,
     },
     /// It was not complete in time.
-    Late,
+    TimedOut,
     /// It has a body without a Content-Length.
-    Length,
+    LengthRequired,
     /// Its body exceeds [`BODY_MAX`].
-    Body,
+    BodyTooLarge,
     /// Its head exceeds [`HEAD_MAX`] or has too many headers.
-    Head,
+    HeadTooLarge,
 }
 
 /// The answer to a call: an HTTP status and one line of text.
@@ -63,12 +63,12 @@
 
 impl Answer {
     /// An answer with status 200.
-    pub fn yes(text: impl Into<String>) -> Answer {
+    pub fn success(text: impl Into<String>) -> Answer {
         Answer { status: 200, allow: None, text: text.into() }
     }
 
     /// An answer with an error status: the call is refused in the current state.
-    pub fn no(status: u16, text: impl Into<String>) -> Answer {
+    pub fn failure(status: u16, text: impl Into<String>) -> Answer {
         Answer { status, allow: None, text: text.into() }
     }
 
@@ -104,11 +104,11 @@
             Fault::NotFound => {
                 (404, None, "no such call; there are ready, out-of-service, in-service, fleet, catalog")
             }
-            Fault::Method { allow } => (405, Some(allow), "this call takes another method"),
-            Fault::Late => (408, None, "the call was not whole in time"),
-            Fault::Length => (411, None, "a body needs a Content-Length"),
-            Fault::Body => (413, None, "the body is too large; no call needs one"),
-            Fault::Head => (431, None, "the head is too large"),
+            Fault::MethodNotAllowed { allow } => (405, Some(allow), "this call takes another method"),
+            Fault::TimedOut => (408, None, "the call was not whole in time"),
+            Fault::LengthRequired => (411, None, "a body needs a Content-Length"),
+            Fault::BodyTooLarge => (413, None, "the body is too large; no call needs one"),
+            Fault::HeadTooLarge => (431, None, "the head is too large"),
         };
         Answer { status, allow, text: text.to_owned() }
     }
@@ -127,11 +127,11 @@
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
         let mut head = httparse::Request::new(&mut headers);
         let head_length = match head.parse(&self.input) {
-            Err(httparse::Error::TooManyHeaders) => return Some(Err(Fault::Head)),
+            Err(httparse::Error::TooManyHeaders) => return Some(Err(Fault::HeadTooLarge)),
             Err(_) => return Some(Err(Fault::Malformed)),
             Ok(httparse::Status::Complete(length)) if length <= HEAD_MAX => length,
             Ok(httparse::Status::Partial) if self.input.len() <= HEAD_MAX => return None,
-            Ok(_) => return Some(Err(Fault::Head)),
+            Ok(_) => return Some(Err(Fault::HeadTooLarge)),
         };
         let call = match call(head.method.unwrap_or(""), head.path.unwrap_or("")) {
             Ok(call) => call,
@@ -161,7 +161,7 @@
         "/control/in-service" => ("POST", Call::Order(ServiceOrder::InService)),
         path => ("POST", zone_call(path).ok_or(Fault::NotFound)?),
     };
-    if method == allow { Ok(call) } else { Err(Fault::Method { allow }) }
+    if method == allow { Ok(call) } else { Err(Fault::MethodNotAllowed { allow }) }
 }
 
 /// Parses `/control/zones/ORDER/NAME`, where ORDER is leave, return or hold.
@@ -192,11 +192,11 @@
             }
             length = Some(n);
         } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(Fault::Length);
+            return Err(Fault::LengthRequired);
         }
     }
     let length = length.unwrap_or(0);
-    if length > BODY_MAX { Err(Fault::Body) } else { Ok(length) }
+    if length > BODY_MAX { Err(Fault::BodyTooLarge) } else { Ok(length) }
 }
 
 #[cfg(test)]
--- a/src/node/reconfigure.rs
+++ b/src/node/reconfigure.rs
@@ -26,11 +26,11 @@
         let free = self
             .retired_classes
             .iter()
-            .filter(|(class, retired_at)| now >= **retired_at + slots::RETIRED && is_empty(class));
+            .filter(|(class, retired_at)| now >= **retired_at + slots::RETIRED_SLOT_HOLD && is_empty(class));
         free.map(|(class, _)| *class).collect()
     }
 
-    /// Plans a change to other, valid settings: which slot each class gets ([`slots::put_over`]). Changes nothing.
+    /// Plans a change to other, valid settings: which slot each class gets ([`slots::merge_settings`]). Changes nothing.
     ///
     /// # Errors
     /// Requests in progress occupy too many class slots.
@@ -38,9 +38,9 @@
         &self,
         now: Micros,
         new_settings: Settings,
-    ) -> Result<SettingsChange, slots::Full> {
+    ) -> Result<SettingsChange, slots::SlotsExhausted> {
         let free = self.free_class_slots(now);
-        slots::put_over(&self.settings, new_settings, |class| free.contains(&class))
+        slots::merge_settings(&self.settings, new_settings, |class| free.contains(&class))
     }
 
     /// Applies a change that was planned for the settings in force.
--- a/src/runtime/console.rs
+++ b/src/runtime/console.rs
@@ -57,32 +57,36 @@
         match call {
             Call::Ready => {
                 let (ready, state) = self.with(|s| (s.is_ready(), s.state()));
-                if ready { Answer::yes(format!("{state:?}")) } else { Answer::no(503, format!("{state:?}")) }
+                if ready {
+                    Answer::success(format!("{state:?}"))
+                } else {
+                    Answer::failure(503, format!("{state:?}"))
+                }
             }
             Call::Fleet => match &*self.fleet.borrow() {
-                Some(fleet) => Answer::yes(fleet.status_report().to_string()),
-                None => Answer::no(404, "this process belongs to no fleet"),
+                Some(fleet) => Answer::success(fleet.status_report().to_string()),
+                None => Answer::failure(404, "this process belongs to no fleet"),
             },
             Call::Catalog => match self.fleet.borrow().as_ref().and_then(|f| f.version_report()) {
-                Some(version) => Answer::yes(version.to_string()),
-                None => Answer::no(404, "this process's fleet agrees on no configuration"),
+                Some(version) => Answer::success(version.to_string()),
+                None => Answer::failure(404, "this process's fleet agrees on no configuration"),
             },
             Call::Zone(order, zone) => match &*self.fleet.borrow() {
                 Some(fleet) if fleet.send_zone_order(&zone, order) => {
                     info!("console: {order:?} {zone}");
-                    Answer::yes("the keepers are asked")
+                    Answer::success("the keepers are asked")
                 }
-                _ => Answer::no(404, "this process knows of no zones"),
+                _ => Answer::failure(404, "this process knows of no zones"),
             },
             Call::Order(order) => match self.with(|s| s.apply_order(order)) {
                 Ok(()) => {
                     info!("console: {order:?}");
                     self.bell.notify_one();
-                    Answer::yes(format!("{:?}", self.with(|s| s.state())))
+                    Answer::success(format!("{:?}", self.with(|s| s.state())))
                 }
                 Err(refusal) => {
                     warn!("console: {order:?} not carried out: {refusal}");
-                    Answer::no(409, refusal.to_string())
+                    Answer::failure(409, refusal.to_string())
                 }
             },
         }
@@ -156,7 +160,7 @@
     let mut buffer = [0; 1024];
     let said = loop {
         match timeout_at(by, stream.read(&mut buffer)).await {
-            Err(_) => break Err(Fault::Late),
+            Err(_) => break Err(Fault::TimedOut),
             Ok(Err(_)) => return,
             Ok(Ok(0)) => match console.ended() {
                 Some(fault) => break Err(fault),
--- a/src/runtime/fleet/config_follower.rs
+++ b/src/runtime/fleet/config_follower.rs
@@ -18,7 +18,7 @@
 
 use super::{Fleet, version_settings};
 use crate::config::Config;
-use crate::config::fleet::Spread;
+use crate::config::fleet::RolloutSettings;
 use crate::config::tiers::Tiers;
 use crate::config_store::{
     Advertised, ChangeSet, ConfigVersion, FetchOutcome, FetchRequest, FetchResponse, FetchSchedule, Follower,
@@ -46,7 +46,7 @@
 /// What a node has of the configuration.
 pub(super) struct ConfigFollower {
     follower: RefCell<Follower>,
-    spread: Spread,
+    spread: RolloutSettings,
     schedule: FetchSchedule,
     /// Wakes the task that fetches.
     wake: Notify,
@@ -60,7 +60,7 @@
 
 impl ConfigFollower {
     /// With nothing fetched. `jitter` spreads the nodes over the replicas and over time.
-    pub(super) fn new(spread: Spread, jitter: u64, replica_count: usize) -> ConfigFollower {
+    pub(super) fn new(spread: RolloutSettings, jitter: u64, replica_count: usize) -> ConfigFollower {
         let schedule = FetchSchedule { spread: spread.within, ..FetchSchedule::default() };
         ConfigFollower {
             follower: RefCell::new(Follower::new(schedule, jitter, ConfigVersion::default())),
--- a/src/runtime/fleet/mod.rs
+++ b/src/runtime/fleet/mod.rs
@@ -119,7 +119,7 @@
         let (now, incarnation) = (clock.now(), process::wall().0);
         let holder = LeaseHolderId { name: name.to_owned(), incarnation };
         let lease_holder =
-            LeaseHolder::new(now, holder, config.here.weight, config.bounds, &config.divided());
+            LeaseHolder::new(now, holder, config.here.weight, config.bounds, &config.all_budgets());
         let own = Member {
             name: name.to_owned(),
             incarnation,
@@ -170,12 +170,12 @@
 
     /// The budgets that calls to these tiers take permits from.
     pub fn shares(&self, tiers: &Tiers) -> FleetQuota {
-        FleetQuota::new(self.lease_holder.clone(), self.permit_time.clone(), self.config.by_tier(tiers))
+        FleetQuota::new(self.lease_holder.clone(), self.permit_time.clone(), self.config.quota_by_tier(tiers))
     }
 
     /// Takes over the tenants' quotas for the settings in force.
     pub fn update_tenant_budgets(&self, settings: &Settings) {
-        *self.budget_by_tenant.borrow_mut() = self.config.by_member(settings);
+        *self.budget_by_tenant.borrow_mut() = self.config.budget_by_tenant(settings);
     }
 
     /// Takes a permit for a tenant's request from its quota, if it has one, by the clock's time now. True where none was left.
--- a/src/runtime/fleet/zone_follower.rs
+++ b/src/runtime/fleet/zone_follower.rs
@@ -109,6 +109,7 @@
     now: Micros,
 ) -> Option<Rc<RefCell<ZoneStatusCache>>> {
     let zones = config.zones.as_ref()?;
-    let cache = ZoneStatusCache::new(now, zones.judged.zones.clone(), &config.here.zone, zones.trust);
+    let cache =
+        ZoneStatusCache::new(now, zones.evaluation.zones.clone(), &config.here.zone, zones.decision_lifetime);
     Some(Rc::new(RefCell::new(cache)))
 }
--- a/src/runtime/listeners.rs
+++ b/src/runtime/listeners.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinHandle;
 
 use super::{Gate, Runtime, door};
-use crate::config::edge::{Listener, SPARE};
+use crate::config::edge::{Listener, SPARE_DESCRIPTORS};
 use crate::door::ListenerId;
 use crate::front::Wire;
 
@@ -53,7 +53,7 @@
                 None => door::listen(at).map_err(|e| format!("{} {at}: {e}", self.gates[gate.0].name))?,
             };
             let listener = Rc::new(listener);
-            let room = Arc::new(Semaphore::new(room + SPARE));
+            let room = Arc::new(Semaphore::new(room + SPARE_DESCRIPTORS));
             let accept = door::accept(gate, listener.clone(), room.clone(), self.events.clone());
             self.listeners.push(Open { gate, at, listener, room, task: tokio::task::spawn_local(accept) });
         }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -172,7 +172,7 @@
     let mut runtime = Runtime::new(config, settings, &edge, &tiers, mode, sender);
     runtime.file_settings = file_settings;
     runtime.open_coap_front(&edge);
-    runtime.plan(&edge.listeners, edge.caller_room(runtime.config.limits.sockets));
+    runtime.plan(&edge.listeners, edge.caller_connections_max(runtime.config.limits.sockets));
     if let Some(fleet) = fleet {
         runtime.join_fleet(fleet);
     }
@@ -219,9 +219,9 @@
             link: None,
             connections: HashMap::new(),
             gates: Vec::new(),
-            doorman: Doorman::new(ConnectionAdmission::new(edge.door(&config))),
+            doorman: Doorman::new(ConnectionAdmission::new(edge.admission_settings(&config))),
             log_limiter: LogRateLimiter::default(),
-            calls: DependencyCalls::new(process::now(), tiers, idle_connections, config.lot()),
+            calls: DependencyCalls::new(process::now(), tiers, idle_connections, config.process_seed()),
             coap: None,
             fleet: None,
             uwsgi: uwsgi.map(|file| (Rc::new(file.clone()), servers(&file))),
@@ -296,7 +296,7 @@
     /// Starts the reports to the directory, and the control address if there is one.
     async fn start_reporting(&self, mode: watch::Receiver<Mode>) -> Result<(), Box<dyn std::error::Error>> {
         let directory = self.lookup_at.subscribe();
-        let (name, lot) = (self.config.name.clone(), self.config.lot());
+        let (name, lot) = (self.config.name.clone(), self.config.process_seed());
         tokio::task::spawn_local(directory::report(directory, name, mode, lot));
         if let Some(at) = self.config.console {
             let listener = TcpListener::bind(at).await.map_err(|e| format!("console {at}: {e}"))?;
--- a/src/runtime/reload.rs
+++ b/src/runtime/reload.rs
@@ -23,7 +23,7 @@
 use crate::config_store::{ConfigVersion, Revision};
 use crate::interface::{ClassId, Micros, Settings, SettingsChange, SettingsError};
 use crate::settings::shape::Shape;
-use crate::settings::slots::{Full, put_over};
+use crate::settings::slots::{SlotsExhausted, merge_settings};
 use crate::time::process;
 
 /// Why another configuration is turned down. Whatever it is, nothing has changed.
@@ -38,7 +38,7 @@
     #[error("calls of earlier tiers and classes are still under way; try again when they have ended")]
     Calls,
     #[error(transparent)]
-    Slots(#[from] Full),
+    Slots(#[from] SlotsExhausted),
     #[error(transparent)]
     Version(#[from] SettingsError),
     #[error("no thread to read the file with: {0}")]
@@ -128,7 +128,7 @@
                 (Some((read.config, read.settings)), ledger, settings)
             }
         };
-        let retune = put_over(&self.settings, settings, |class| self.free.contains(&class))?;
+        let retune = merge_settings(&self.settings, settings, |class| self.free.contains(&class))?;
         let tiers = Tiers::load_with(self.tiers.as_deref(), ledger, &retune.settings)?;
         let changed = retune.settings != self.settings;
         Ok(Told { file, otherwise, retune: changed.then_some(retune), tiers })
--- a/src/runtime/replica/mod.rs
+++ b/src/runtime/replica/mod.rs
@@ -190,7 +190,7 @@
     std::fs::create_dir_all(folder)?;
     let log_store = LogStore::open(folder)?;
     let clock = LeaseClock::new(fleet.here.clock_speed);
-    let state = Arc::new(Mutex::new(ReplicaState::new(fleet.bounds, fleet.divided())));
+    let state = Arc::new(Mutex::new(ReplicaState::new(fleet.bounds, fleet.all_budgets())));
     let state_machine = StateMachineStore::load(log_store.clone(), state.clone(), clock, config_changed)?;
     let addresses = fleet
         .keepers
@@ -233,7 +233,7 @@
 fn reload_budgets(server: &ReplicaServer) {
     match Fleet::load(&server.fleet.file, None) {
         Ok(file) if file.bounds == server.fleet.bounds && file.keepers == server.fleet.keepers => {
-            let budgets = file.divided();
+            let budgets = file.all_budgets();
             info!("reload: {} budgets", budgets.len());
             server.state().update_budgets(file.bounds, budgets);
             file.zones.iter().for_each(|zones| server.reload_zones(zones));
--- a/src/runtime/replica/zone_coordinator.rs
+++ b/src/runtime/replica/zone_coordinator.rs
@@ -53,7 +53,7 @@
 impl ZoneCoordinator {
     pub fn new(zones: &Zones) -> Mutex<ZoneCoordinator> {
         Mutex::new(ZoneCoordinator {
-            evaluator: ZoneHealthEvaluator::new(zones.judged.clone()),
+            evaluator: ZoneHealthEvaluator::new(zones.evaluation.clone()),
             node_addresses: HashMap::new(),
         })
     }
@@ -73,8 +73,8 @@
     /// Takes over other settings. Reports so far are dropped; nodes repeat them within a second.
     pub(super) fn reload_zones(&self, zones: &Zones) {
         self.with_zones(|coordinator| {
-            if *coordinator.evaluator.settings() != zones.judged {
-                coordinator.evaluator = ZoneHealthEvaluator::new(zones.judged.clone());
+            if *coordinator.evaluator.settings() != zones.evaluation {
+                coordinator.evaluator = ZoneHealthEvaluator::new(zones.evaluation.clone());
             }
         });
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -9,7 +9,7 @@
 
 use crate::interface::{Downstream, LoadSignal, Micros, Settings, StopMode};
 pub use shape::lacking;
-use told::Told;
+use told::RawSettings;
 
 /// Longest time that callers leave a connection idle, where the settings don't set it.
 const DEFAULT_IDLE_MAX: Micros = Micros::from_millis(30_000);
@@ -76,7 +76,7 @@
 /// # Errors
 /// Text that is not JSON, or a field that is missing or of the wrong kind.
 pub fn from_text(json: &str) -> Result<Settings, String> {
-    let raw: Told = serde_json::from_str(json).map_err(|e| format!("params is not JSON: {e}"))?;
+    let raw: RawSettings = serde_json::from_str(json).map_err(|e| format!("params is not JSON: {e}"))?;
     from_raw(raw)
 }
 
@@ -85,14 +85,14 @@
 /// # Errors
 /// Names the first field that is missing or of the wrong kind.
 pub fn from_json(root: &Value) -> Result<Settings, String> {
-    from_raw(Told::deserialize(root).map_err(|e| e.to_string())?)
+    from_raw(RawSettings::deserialize(root).map_err(|e| e.to_string())?)
 }
 
 /// Converts a deserialized settings object.
 ///
 /// # Errors
 /// Names the first field that is missing or of the wrong kind.
-pub fn from_raw(Told { rest, classes, tenants }: Told) -> Result<Settings, String> {
+pub fn from_raw(RawSettings { rest, classes, tenants }: RawSettings) -> Result<Settings, String> {
     let (root, absent) = (&rest, Value::Null);
     let at = |key: &'static str| NamedObject(root.get(key).unwrap_or(&absent), key);
     let (top, domain, contract) = (NamedObject(root, "params"), at("domain"), at("contract"));
--- a/src/settings/slots.rs
+++ b/src/settings/slots.rs
@@ -14,17 +14,17 @@
 /// Open requests hold too many slots; the new settings are not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("requests of earlier settings still hold {SLOTS_MAX} classes; try again when they are answered")]
-pub struct Full;
+pub struct SlotsExhausted;
 
 /// Merges new settings into those in force. `is_free` tells whether a retired slot has no requests left.
 ///
 /// # Errors
 /// No slot is left for a new or changed class.
-pub fn put_over(
+pub fn merge_settings(
     in_force: &Settings,
     new: Settings,
     is_free: impl Fn(ClassId) -> bool,
-) -> Result<SettingsChange, Full> {
+) -> Result<SettingsChange, SlotsExhausted> {
     let current = &in_force.classes;
     let mut live = vec![false; current.len()];
     // Classes that need a slot, each with the slot that holds the current class of its name.
@@ -54,7 +54,7 @@
                     slots.push(class.clone());
                     slots.len() - 1
                 }
-                None => return Err(Full),
+                None => return Err(SlotsExhausted),
             };
             former.push((ClassId(i), from));
         }
@@ -83,7 +83,7 @@
 }
 
 /// Shortest time from the retirement of a slot to its reuse: requests read under it have reached the core by then.
-pub const RETIRED: Micros = Micros::from_millis(2_000);
+pub const RETIRED_SLOT_HOLD: Micros = Micros::from_millis(2_000);
 
 #[cfg(test)]
 mod tests;
--- a/src/settings/slots/tests.rs
+++ b/src/settings/slots/tests.rs
@@ -30,7 +30,7 @@
     ];
     let mut s = settings_of(&[("a", 1), ("b", 1)]);
     for (classes, free, want, former) in table {
-        let r = put_over(&s, settings_of(classes), |c| free.contains(&c.0))
+        let r = merge_settings(&s, settings_of(classes), |c| free.contains(&c.0))
             .expect("a slot is free for each changed class");
         assert_eq!(slot_list(&r.settings), want);
         let slots: Vec<_> = r.previous_classes.iter().map(|(to, from)| (to.0, from.map(|f| f.0))).collect();
@@ -48,10 +48,12 @@
         settings_of(&classes.collect::<Vec<_>>())
     };
     let mut s = all(1, &[]);
-    s = put_over(&s, all(2, &[]), |_| false).expect("a slot is free for each changed class").settings;
+    s = merge_settings(&s, all(2, &[]), |_| false).expect("a slot is free for each changed class").settings;
     assert_eq!(s.classes.len(), SLOTS_MAX);
-    assert!(put_over(&s, all(2, &[]), |_| false).is_ok_and(|r| r.settings.classes.is_same_copy(&s.classes)));
-    assert_eq!(put_over(&s, all(2, &[("d", 1)]), |_| false), Err(Full));
-    assert!(put_over(&s, all(2, &[("d", 1)]), |c| c.0 == 7).is_ok());
-    assert_eq!(put_over(&s, all(2, &[("d", 1), ("e", 1)]), |c| c.0 == 7), Err(Full));
+    assert!(
+        merge_settings(&s, all(2, &[]), |_| false).is_ok_and(|r| r.settings.classes.is_same_copy(&s.classes))
+    );
+    assert_eq!(merge_settings(&s, all(2, &[("d", 1)]), |_| false), Err(SlotsExhausted));
+    assert!(merge_settings(&s, all(2, &[("d", 1)]), |c| c.0 == 7).is_ok());
+    assert_eq!(merge_settings(&s, all(2, &[("d", 1), ("e", 1)]), |c| c.0 == 7), Err(SlotsExhausted));
 }
--- a/src/settings/told.rs
+++ b/src/settings/told.rs
@@ -17,20 +17,20 @@
 
 /// A settings object whose lists are converted and whose other values are still JSON.
 #[derive(Debug)]
-pub struct Told {
+pub struct RawSettings {
     /// All values except the lists of classes and tenants.
     pub(super) rest: Value,
     pub(super) classes: List<ClassSettings>,
     pub(super) tenants: List<TenantSettings>,
 }
 
-impl Default for Told {
+impl Default for RawSettings {
     fn default() -> Self {
-        Told { rest: Value::Null, classes: Ok(Vec::new()), tenants: Ok(Vec::new()) }
+        RawSettings { rest: Value::Null, classes: Ok(Vec::new()), tenants: Ok(Vec::new()) }
     }
 }
 
-impl Told {
+impl RawSettings {
     /// The names of the agent's gauges, in their order.
     pub fn gauge_names(&self) -> Vec<String> {
         let names = self.rest.pointer("/domain/meters").and_then(Value::as_array);
@@ -144,8 +144,8 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Told {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Told, D::Error> {
+impl<'de> Deserialize<'de> for RawSettings {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<RawSettings, D::Error> {
         d.deserialize_any(RawSettingsVisitor)
     }
 }
@@ -153,19 +153,19 @@
 struct RawSettingsVisitor;
 
 /// A value that is not an object: conversion reports its missing fields.
-fn not_an_object<E>(rest: impl Into<Value>) -> Result<Told, E> {
-    Ok(Told { rest: rest.into(), ..Told::default() })
+fn not_an_object<E>(rest: impl Into<Value>) -> Result<RawSettings, E> {
+    Ok(RawSettings { rest: rest.into(), ..RawSettings::default() })
 }
 
 impl<'de> Visitor<'de> for RawSettingsVisitor {
-    type Value = Told;
+    type Value = RawSettings;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a settings object")
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Told, A::Error> {
-        let (mut settings, mut rest) = (Told::default(), Map::new());
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<RawSettings, A::Error> {
+        let (mut settings, mut rest) = (RawSettings::default(), Map::new());
         while let Some(key) = map.next_key::<String>()? {
             match key.as_str() {
                 "classes" => {
@@ -183,31 +183,31 @@
         Ok(settings)
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, seq: A) -> Result<Told, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, seq: A) -> Result<RawSettings, A::Error> {
         not_an_object(Value::deserialize(SeqAccessDeserializer::new(seq))?)
     }
 
-    fn visit_unit<E>(self) -> Result<Told, E> {
+    fn visit_unit<E>(self) -> Result<RawSettings, E> {
         not_an_object(Value::Null)
     }
 
-    fn visit_bool<E>(self, v: bool) -> Result<Told, E> {
+    fn visit_bool<E>(self, v: bool) -> Result<RawSettings, E> {
         not_an_object(v)
     }
 
-    fn visit_i64<E>(self, v: i64) -> Result<Told, E> {
+    fn visit_i64<E>(self, v: i64) -> Result<RawSettings, E> {
         not_an_object(v)
     }
 
-    fn visit_u64<E>(self, v: u64) -> Result<Told, E> {
+    fn visit_u64<E>(self, v: u64) -> Result<RawSettings, E> {
         not_an_object(v)
     }
 
-    fn visit_f64<E>(self, v: f64) -> Result<Told, E> {
+    fn visit_f64<E>(self, v: f64) -> Result<RawSettings, E> {
         not_an_object(v)
     }
 
-    fn visit_str<E: de::Error>(self, v: &str) -> Result<Told, E> {
+    fn visit_str<E: de::Error>(self, v: &str) -> Result<RawSettings, E> {
         not_an_object(v)
     }
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -63,7 +63,7 @@
             listeners: vec![gate],
             partial_bytes_max: 1 << 20,
             unsent_bytes_max: 1 << 20,
-            sources: Edge::default().door(&config()).sources,
+            sources: Edge::default().admission_settings(&config()).sources,
         });
         let from = stream.peer_addr().expect("a connected stream has a peer address").ip();
         let AdmissionDecision::Admit(id) = door.admit(process::now(), ListenerId(0), from) else {
--- a/tests/golden_cli/keys.rs
+++ b/tests/golden_cli/keys.rs
@@ -176,7 +176,7 @@
 fn keys_that_only_a_running_node_reads() {
     let whole = parse("config.json", &all_keys().read("config.json"));
     let told = |settings: &Value| -> (Vec<String>, bool) {
-        let told: holdlift::settings::told::Told =
+        let told: holdlift::settings::told::RawSettings =
             serde_json::from_str(&settings.to_string()).expect("settings");
         (told.gauge_names(), told.is_entry())
     };
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -147,7 +147,7 @@
 #[test]
 fn a_queued_request_keeps_its_deadline_across_a_settings_change() {
     use common::{PolicyUnderTest, answers, ended, request, runs};
-    use holdlift::settings::slots::put_over;
+    use holdlift::settings::slots::merge_settings;
     use holdlift::{Event, Micros, Outcome};
     let mut in_force = common::settings();
     in_force.classes[0].late_weight = 0.2;
@@ -156,7 +156,8 @@
     assert_eq!(first, [3, 2], "two cores");
     let mut new_settings = in_force.clone();
     new_settings.classes[0].deadline = Micros::from_millis(100);
-    let change = put_over(&in_force, new_settings, |_| false).expect("a slot is free for the changed class");
+    let change =
+        merge_settings(&in_force, new_settings, |_| false).expect("a slot is free for the changed class");
     assert!(answers(&server.at(0, &[Event::SettingsChanged(Box::new(change))])).is_empty());
     assert!(answers(&server.idle(450, 0.5)).is_empty());
     assert_eq!(runs(&server.at(15, &[ended(3, Outcome::Good)])), [1]);
--- a/tests/settings_size.rs
+++ b/tests/settings_size.rs
@@ -4,7 +4,7 @@
 
 use holdlift::config::doc::few;
 use holdlift::settings::shape::Shape;
-use holdlift::settings::slots::put_over;
+use holdlift::settings::slots::merge_settings;
 use holdlift::settings::{from_text, lacking};
 use holdlift::{
     CLASSES_MAX, ClassId, ClassSettings, IndexedEntry, IndexedList, Micros, Settings, SettingsError,
@@ -161,7 +161,7 @@
             let want = classes.clone();
             let new_settings = Settings { classes: classes.into(), tenants: tenants.into(), ..Settings::default() };
             let free = |c: ClassId| free >> (c.0 % 64) & 1 == 1;
-            let r = put_over(&s, new_settings.clone(), free).expect("a slot is free for each changed class");
+            let r = merge_settings(&s, new_settings.clone(), free).expect("a slot is free for each changed class");
             agrees_with_search(&r.settings)?;
             let mut live: Vec<_> = r.settings.active_classes().cloned().collect();
             let mut want = want;
