--- a/src/runtime/fleet/mod.rs
+++ b/src/runtime/fleet/mod.rs
@@ -121,7 +121,7 @@
         let (now, incarnation) = (clock.now(), process::wall().0);
         let holder = LeaseHolderId { name: name.to_owned(), incarnation };
         let lease_holder =
-            LeaseHolder::new(now, holder, config.here.weight, config.bounds, &config.divided());
+            LeaseHolder::new(now, holder, config.here.weight, config.bounds, &config.all_budgets());
         let own = Member {
             name: name.to_owned(),
             incarnation,
@@ -172,12 +172,12 @@
 
     /// The budgets that calls to these tiers take permits from.
     pub fn quota(&self, tiers: &Tiers) -> FleetQuota {
-        FleetQuota::new(self.lease_holder.clone(), self.permit_time.clone(), self.config.by_tier(tiers))
+        FleetQuota::new(self.lease_holder.clone(), self.permit_time.clone(), self.config.quota_by_tier(tiers))
     }
 
     /// Maps the tenants of the settings in force to the budgets of their quotas.
     pub fn update_tenant_budgets(&self, settings: &Settings) {
-        *self.budget_by_tenant.borrow_mut() = self.config.by_member(settings);
+        *self.budget_by_tenant.borrow_mut() = self.config.budget_by_tenant(settings);
     }
 
     /// Takes a permit for a tenant's request from the tenant's quota, if it has one, at the lease clock's current time. True if
--- a/src/runtime/listeners.rs
+++ b/src/runtime/listeners.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinHandle;
 
 use super::{ListenerInfo, Runtime, door};
-use crate::config::edge::{Listener, SPARE};
+use crate::config::edge::{Listener, SPARE_DESCRIPTORS};
 use crate::door::ListenerId;
 use crate::front::Wire;
 
@@ -64,7 +64,7 @@
                     .map_err(|e| format!("{} {address}: {e}", self.listener_infos[id.0].name))?,
             };
             let listener = Rc::new(listener);
-            let permits = Arc::new(Semaphore::new(connections_max + SPARE));
+            let permits = Arc::new(Semaphore::new(connections_max + SPARE_DESCRIPTORS));
             let accept = door::accept_connections(id, listener.clone(), permits.clone(), self.events.clone());
             let task = tokio::task::spawn_local(accept);
             self.listeners.push(OpenListener { id, address, listener, permits, task });
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -184,7 +184,7 @@
     let mut runtime = Runtime::new(config, settings, &edge, &tiers, mode, sender);
     runtime.file_settings = file_settings;
     runtime.create_coap_front(&edge);
-    runtime.plan_listeners(&edge.listeners, edge.caller_room(runtime.config.limits.sockets));
+    runtime.plan_listeners(&edge.listeners, edge.caller_connections_max(runtime.config.limits.sockets));
     if let Some(fleet) = fleet {
         runtime.join_fleet(fleet);
     }
@@ -232,9 +232,9 @@
             agent_link: None,
             connections: HashMap::new(),
             listener_infos: Vec::new(),
-            admission: SharedAdmission::new(ConnectionAdmission::new(edge.door(&config))),
+            admission: SharedAdmission::new(ConnectionAdmission::new(edge.admission_settings(&config))),
             log_limiter: LogRateLimiter::default(),
-            calls: DependencyCalls::new(process::now(), tiers, idle_connections, config.lot()),
+            calls: DependencyCalls::new(process::now(), tiers, idle_connections, config.process_seed()),
             coap: None,
             fleet: None,
             uwsgi: uwsgi.map(|file| (Rc::new(file.clone()), upstream_servers(&file))),
@@ -309,7 +309,7 @@
     /// Starts the reports to the directory, and listens at the control address if there is one.
     async fn start_reporting(&self, mode: watch::Receiver<Mode>) -> Result<(), Box<dyn std::error::Error>> {
         let directory = self.directory_address.subscribe();
-        let (name, jitter) = (self.config.name.clone(), self.config.lot());
+        let (name, jitter) = (self.config.name.clone(), self.config.process_seed());
         tokio::task::spawn_local(directory::report(directory, name, mode, jitter));
         if let Some(at) = self.config.console {
             let listener = TcpListener::bind(at).await.map_err(|e| format!("console {at}: {e}"))?;
--- a/src/runtime/reload.rs
+++ b/src/runtime/reload.rs
@@ -24,7 +24,7 @@
 use crate::config_store::{ConfigVersion, Revision};
 use crate::interface::{ClassId, Micros, Settings, SettingsChange, SettingsError};
 use crate::settings::shape::Shape;
-use crate::settings::slots::{Full, put_over};
+use crate::settings::slots::{SlotsExhausted, merge_settings};
 use crate::time::process;
 
 /// Why a new configuration is rejected. The configuration in force is unchanged.
@@ -39,7 +39,7 @@
     #[error("calls of earlier tiers and classes are still open; retry after they have ended")]
     OpenCalls,
     #[error(transparent)]
-    NoFreeSlots(#[from] Full),
+    NoFreeSlots(#[from] SlotsExhausted),
     #[error(transparent)]
     Version(#[from] SettingsError),
     #[error("the thread that reads the file can't be started: {0}")]
@@ -134,7 +134,7 @@
                 (Some((read.config, read.settings)), ledger, settings)
             }
         };
-        let change = put_over(&self.settings, settings, |class| self.free_slots.contains(&class))?;
+        let change = merge_settings(&self.settings, settings, |class| self.free_slots.contains(&class))?;
         let tiers = Tiers::load_with(self.tiers_file.as_deref(), ledger, &change.settings)?;
         let has_changed = change.settings != self.settings;
         Ok(PreparedConfig { file, conflicts, settings_change: has_changed.then_some(change), tiers })
