--- a/src/runtime/replica/client.rs
+++ b/src/runtime/replica/client.rs
@@ -246,5 +246,5 @@
 fn unexpected_response(response: &ConfigResponse) -> ReplicaClientError {
     let text = format!("{response:?}");
     let end = text.floor_char_boundary(SHOWN_BYTES_MAX);
-    ReplicaClientError::Refused(format!("unexpected response from a keeper: {}", &text[..end]))
+    ReplicaClientError::Refused(format!("a keeper answered something else: {}", &text[..end]))
 }
--- a/src/runtime/replica/mod.rs
+++ b/src/runtime/replica/mod.rs
@@ -155,7 +155,7 @@
     }
     tasks.iter().for_each(JoinHandle::abort);
     server.raft.shutdown().await?;
-    info!("replica {} has shut down", server.name);
+    info!("replica {} ends", server.name);
     Ok(())
 }
 
