--- a/benches/config_store.rs
+++ b/benches/config_store.rs
@@ -31,7 +31,7 @@
 fn sizes() {
     for part in QUARTERS {
         let (classes, tenants) = (WHOLE.0 * part / 4, WHOLE.1 * part / 4);
-        let records = records::many(classes, tenants);
+        let records = records::classes_and_tenants(classes, tenants);
         let before = resident();
         let one = records::version_of(records);
         let after = resident();
@@ -67,7 +67,7 @@
         .measurement_time(Duration::from_millis(800));
     for part in QUARTERS {
         let (classes, tenants) = (WHOLE.0 * part / 4, WHOLE.1 * part / 4);
-        let all = records::version_of(records::many(classes, tenants));
+        let all = records::version_of(records::classes_and_tenants(classes, tenants));
         let base = Settings { cores: 4, min_batch_gap: Micros(1), ..Settings::default() };
         let one = drafted(&all, vec![records::tenant("tenant-000007", 1.5)]);
         let many = (0..5_000).map(|i| records::tenant(&format!("tenant-{i:06x}"), 1.5));
