--- a/tests/configuration/guard.rs
+++ b/tests/configuration/guard.rs
@@ -1,33 +1,33 @@
-//! Versions that the first nodes can't bear: they spread no further, the others stay with the last good one, and operators see
-//! it and say how it goes on. Of six nodes one goes first.
+//! Tests of the canary rollout: a version on which a canary fails spreads no further, the other nodes keep the last good one,
+//! and operators see the halt and decide how to proceed. Of six nodes one is the canary.
 
 use super::nodes::NODES;
 use super::*;
 
-/// Long enough that a first node which ends is killed well before it has lived with the version.
-const SLOW: &str = "spread_ms = 300\nhold_ms = 4000\npatience_ms = 5000\n";
-/// The same, and no node is lost for a while.
-const PATIENT: &str = "spread_ms = 300\nhold_ms = 4000\npatience_ms = 20000\n";
+/// The trial of 4 s is long enough to kill a canary well before it ends.
+const LONG_TRIAL: &str = "spread_ms = 300\nhold_ms = 4000\npatience_ms = 5000\n";
+/// Like [`LONG_TRIAL`], and a silent node counts as unresponsive only after 20 s.
+const LONG_TRIAL_AND_PATIENCE: &str = "spread_ms = 300\nhold_ms = 4000\npatience_ms = 20000\n";
 
-impl Scene {
-    async fn tried_nodes(seed: u64, catalog: &'static str) -> Scene {
-        let s = Scene::tried(NODES, seed, catalog).await;
-        s.found().await;
-        s.all(&s.all_nodes(), 1).await;
-        s
+impl Cluster {
+    async fn with_nodes_and_catalog(seed: u64, catalog: &'static str) -> Cluster {
+        let cluster = Cluster::start_with_catalog(NODES, seed, catalog).await;
+        cluster.apply_first_version().await;
+        cluster.wait_for_version(&cluster.all_nodes(), 1).await;
+        cluster
     }
 
-    /// Waits until a node has that version in force; the first one that has.
-    pub async fn one_with(&self, revision: u64) -> usize {
-        let has = || self.all_nodes().into_iter().find(|i| self.past(*i).contains(&revision));
-        self.until("one has it", async || has().is_some()).await;
-        has().expect("it had it just now")
+    /// Waits until a node has adopted that version and returns the first such node.
+    pub async fn first_node_with(&self, revision: u64) -> usize {
+        let has = || self.all_nodes().into_iter().find(|i| self.adopted_versions(*i).contains(&revision));
+        self.until("a node has adopted the version", async || has().is_some()).await;
+        has().expect("a node has adopted the revision")
     }
 
-    /// Waits until operators are told that a version is stopped; all that they are told.
-    async fn stopped(&self, revision: u64) -> String {
+    /// Waits until `config where` lists the version as halted and returns its output.
+    async fn wait_until_halted(&self, revision: u64) -> String {
         let mut last = String::new();
-        self.until("it is stopped", async || {
+        self.until("the version is halted", async || {
             last = self.config(0, &["where"]).await.1;
             last.contains(&format!("stopped: version {revision} spreads no further"))
         })
@@ -35,137 +35,150 @@
         last
     }
 
-    /// Nodes that had a version in force or tried to.
-    fn tried_by(&self, revision: u64) -> Vec<usize> {
-        let refused = format!(" version {revision}: ");
-        let tried =
-            |i: &usize| self.past(*i).contains(&revision) || self.log(&format!("n{i}")).contains(&refused);
+    /// The nodes that had a version in force or rejected it, by their logs.
+    fn nodes_that_tried(&self, revision: u64) -> Vec<usize> {
+        let rejection = format!(" version {revision}: ");
+        let tried = |i: &usize| {
+            self.adopted_versions(*i).contains(&revision) || self.log(&format!("n{i}")).contains(&rejection)
+        };
         self.all_nodes().into_iter().filter(tried).collect()
     }
 }
 
-/// A change that the keepers agree on and no node can work with, as its own file of tiers names a class that would be gone: the
-/// first node keeps the last good one and says why, and no other is ever told of it; not by another leader, and not when it
-/// starts. The next good one is in force everywhere.
+/// A version removes a class that the nodes' own files of tiers name, so no node can adopt it. The canary keeps the last good
+/// version and reports the reason; no other node is notified, neither by a new leader nor at its start. The next good version
+/// reaches all nodes.
 #[tokio::test]
-async fn a_version_that_the_first_nodes_refuse() {
-    let mut s = Scene::with_nodes(59).await;
-    let mut file = whole(&[("acme", 50.0), ("other", 0.0)]);
-    file["classes"].as_array_mut().expect("a list").truncate(2);
-    let path = s.file("poison.json", &file.to_string()).display().to_string();
-    let (good, said) = s.config(0, &["apply", &path, "--base", "1"]).await;
-    assert!(good && said.contains("class: 1 removed: book-job"), "{said}");
-    let said = s.stopped(2).await;
-    assert!(said.contains("can't have it: ") && said.contains("book-job"), "{said}");
-    let first = s.tried_by(2);
-    assert_eq!(first.len(), 1, "{first:?}");
-    let (good, said) = s.config(0, &["where", "--wait", "60"]).await;
-    assert!(!good && said.contains("version 2 is stopped"), "{said}");
-    // Another leads, and a node starts.
-    let leader = s.leader().expect("a leader");
-    s.kill(leader);
-    s.until("another leads", async || s.leader().is_some_and(|l| l != leader)).await;
-    let cold = (first[0] + 1) % NODES;
-    s.restart(cold);
-    s.ready(cold).await;
-    assert_eq!(s.version(cold).await["revision"], 1, "a node that starts has the last good one");
-    let said = s.stopped(2).await;
-    assert!(said.contains("the others stay with version 1"), "{said}");
-    s.all(&s.all_nodes(), 1).await;
-    assert_eq!(s.tried_by(2), first);
-    let (good, said) = s.config(0, &["rollback", "1"]).await;
-    assert!(good, "{said}");
-    s.all(&s.all_nodes(), 3).await;
-    let (good, said) = s.config(0, &["where", "--wait", "60"]).await;
-    assert!(good && !said.contains("stopped:"), "{said}");
-    s.until("it is known to be good", async || !s.config(0, &["where"]).await.1.contains("on trial:")).await;
-    assert_eq!(s.tried_by(2), first);
+async fn a_version_its_canary_rejects_stays_halted_across_leader_change_and_restart() {
+    let mut cluster = Cluster::with_nodes(59).await;
+    let mut file = config_file(&[("acme", 50.0), ("other", 0.0)]);
+    file["classes"].as_array_mut().expect("the field is a list").truncate(2);
+    let path = cluster.file("poison.json", &file.to_string()).display().to_string();
+    let (success, output) = cluster.config(0, &["apply", &path, "--base", "1"]).await;
+    assert!(success && output.contains("class: 1 removed: book-job"), "{output}");
+    let output = cluster.wait_until_halted(2).await;
+    assert!(output.contains("can't have it: ") && output.contains("book-job"), "{output}");
+    let canaries = cluster.nodes_that_tried(2);
+    assert_eq!(canaries.len(), 1, "{canaries:?}");
+    let (success, output) = cluster.config(0, &["where", "--wait", "60"]).await;
+    assert!(!success && output.contains("version 2 is stopped"), "{output}");
+    // A new replica leads, and another node restarts.
+    let leader = cluster.leader().expect("a replica leads");
+    cluster.kill(leader);
+    cluster.until("another replica leads", async || cluster.leader().is_some_and(|l| l != leader)).await;
+    let restarted = (canaries[0] + 1) % NODES;
+    cluster.restart(restarted);
+    cluster.ready(restarted).await;
+    assert_eq!(
+        cluster.version_report(restarted).await["revision"],
+        1,
+        "a restarted node has the last good version"
+    );
+    let output = cluster.wait_until_halted(2).await;
+    assert!(output.contains("the others stay with version 1"), "{output}");
+    cluster.wait_for_version(&cluster.all_nodes(), 1).await;
+    assert_eq!(cluster.nodes_that_tried(2), canaries);
+    let (success, output) = cluster.config(0, &["rollback", "1"]).await;
+    assert!(success, "{output}");
+    cluster.wait_for_version(&cluster.all_nodes(), 3).await;
+    let (success, output) = cluster.config(0, &["where", "--wait", "60"]).await;
+    assert!(success && !output.contains("stopped:"), "{output}");
+    cluster
+        .until("version 3 is approved", async || !cluster.config(0, &["where"]).await.1.contains("on trial:"))
+        .await;
+    assert_eq!(cluster.nodes_that_tried(2), canaries);
 }
 
-/// The first node dies right after it has the version in force: the others never have it. Its next process starts with the last
-/// good one. An operator who knows better lets it go on, and all have it.
+/// The canary dies right after it adopts the version: no other node gets it, and the canary's next process starts with the last
+/// good version. Once an operator releases the version, all nodes adopt it.
 #[tokio::test]
-async fn a_version_that_the_first_nodes_die_of() {
-    let mut s = Scene::tried_nodes(61, SLOW).await;
-    assert_eq!(s.set(0, &[("acme", 6.0)]).await, Revision(2));
-    let first = s.one_with(2).await;
-    s.kill(first);
-    let said = s.stopped(2).await;
-    assert!(said.contains(&format!("n{first} has fallen silent with it")), "{said}");
-    assert_eq!(s.tried_by(2), [first]);
-    s.restart(first);
-    s.ready(first).await;
-    assert_eq!(s.version(first).await["revision"], 1, "it starts with the last good one");
-    s.all(&s.all_nodes(), 1).await;
-    let (good, said) = s.config(0, &["release", "3"]).await;
-    assert!(!good && said.contains("there is no version 3"), "{said}");
-    let (good, said) = s.config(0, &["release", "2", "--by", "north", "--note", "the rack was moved"]).await;
-    assert!(good && said.contains("all nodes may have version 2"), "{said}");
-    s.all(&s.all_nodes(), 2).await;
-    let (good, said) = s.config(0, &["release", "2"]).await;
-    assert!(!good && said.contains("already"), "{said}");
+async fn a_version_whose_canary_dies_is_halted_until_an_operator_releases_it() {
+    let mut cluster = Cluster::with_nodes_and_catalog(61, LONG_TRIAL).await;
+    assert_eq!(cluster.set_quotas(0, &[("acme", 6.0)]).await, Revision(2));
+    let canary = cluster.first_node_with(2).await;
+    cluster.kill(canary);
+    let output = cluster.wait_until_halted(2).await;
+    assert!(output.contains(&format!("n{canary} has fallen silent with it")), "{output}");
+    assert_eq!(cluster.nodes_that_tried(2), [canary]);
+    cluster.restart(canary);
+    cluster.ready(canary).await;
+    assert_eq!(
+        cluster.version_report(canary).await["revision"],
+        1,
+        "the restarted canary has the last good version"
+    );
+    cluster.wait_for_version(&cluster.all_nodes(), 1).await;
+    let (success, output) = cluster.config(0, &["release", "3"]).await;
+    assert!(!success && output.contains("there is no version 3"), "{output}");
+    let (success, output) =
+        cluster.config(0, &["release", "2", "--by", "north", "--note", "the rack was moved"]).await;
+    assert!(success && output.contains("all nodes may have version 2"), "{output}");
+    cluster.wait_for_version(&cluster.all_nodes(), 2).await;
+    let (success, output) = cluster.config(0, &["release", "2"]).await;
+    assert!(!success && output.contains("already"), "{output}");
 }
 
-/// The same with a supervisor that starts it anew at once.
+/// A canary that dies and is restarted at once by its supervisor halts the version too.
 #[tokio::test]
-async fn a_first_node_that_begins_anew() {
-    let mut s = Scene::tried_nodes(62, SLOW).await;
-    assert_eq!(s.set(0, &[("acme", 6.0)]).await, Revision(2));
-    let first = s.one_with(2).await;
-    s.restart(first);
-    let said = s.stopped(2).await;
-    assert!(said.contains(&format!("n{first} has ended with it and begun anew")), "{said}");
-    assert_eq!(s.tried_by(2), [first]);
-    s.all(&s.all_nodes(), 1).await;
+async fn a_version_whose_canary_restarts_at_once_is_halted() {
+    let mut cluster = Cluster::with_nodes_and_catalog(62, LONG_TRIAL).await;
+    assert_eq!(cluster.set_quotas(0, &[("acme", 6.0)]).await, Revision(2));
+    let canary = cluster.first_node_with(2).await;
+    cluster.restart(canary);
+    let output = cluster.wait_until_halted(2).await;
+    assert!(output.contains(&format!("n{canary} has ended with it and begun anew")), "{output}");
+    assert_eq!(cluster.nodes_that_tried(2), [canary]);
+    cluster.wait_for_version(&cluster.all_nodes(), 1).await;
 }
 
-/// The leading keeper is killed while a version is on trial: the next one tries it in its turn, and all have it.
+/// The leading replica is killed while a version is on trial: the new leader completes the trial, and all nodes adopt the
+/// version.
 #[tokio::test]
-async fn the_leading_keeper_is_killed_during_a_trial() {
-    let mut s = Scene::tried_nodes(63, PATIENT).await;
-    assert_eq!(s.set(0, &[("acme", 6.0)]).await, Revision(2));
-    s.one_with(2).await;
-    let leader = s.leader().expect("a leader");
-    s.kill(leader);
-    assert!(s.tried_by(2).len() < NODES, "it was on trial still");
-    s.all(&s.all_nodes(), 2).await;
-    s.only_forward();
+async fn a_trial_completes_after_the_leading_replica_is_killed() {
+    let mut cluster = Cluster::with_nodes_and_catalog(63, LONG_TRIAL_AND_PATIENCE).await;
+    assert_eq!(cluster.set_quotas(0, &[("acme", 6.0)]).await, Revision(2));
+    cluster.first_node_with(2).await;
+    let leader = cluster.leader().expect("a replica leads");
+    cluster.kill(leader);
+    assert!(cluster.nodes_that_tried(2).len() < NODES, "the version is still on trial");
+    cluster.wait_for_version(&cluster.all_nodes(), 2).await;
+    cluster.assert_versions_never_decrease();
 }
 
-/// Back to the former version while a version is on trial: that is a third one, and who was not first never has the second.
+/// A rollback while version 2 is on trial creates version 3, and only the canary ever adopts version 2.
 #[tokio::test]
-async fn a_rollback_during_a_trial() {
-    let s = Scene::tried_nodes(64, PATIENT).await;
-    assert_eq!(s.set(0, &[("acme", 6.0)]).await, Revision(2));
-    let first = s.one_with(2).await;
-    let (good, said) = s.config(0, &["rollback", "1"]).await;
-    assert!(good && said.contains("version 3"), "{said}");
-    s.all(&s.all_nodes(), 3).await;
-    assert_eq!(s.tried_by(2), [first]);
-    s.only_forward();
+async fn a_rollback_during_a_trial_confines_the_version_to_its_canary() {
+    let cluster = Cluster::with_nodes_and_catalog(64, LONG_TRIAL_AND_PATIENCE).await;
+    assert_eq!(cluster.set_quotas(0, &[("acme", 6.0)]).await, Revision(2));
+    let canary = cluster.first_node_with(2).await;
+    let (success, output) = cluster.config(0, &["rollback", "1"]).await;
+    assert!(success && output.contains("version 3"), "{output}");
+    cluster.wait_for_version(&cluster.all_nodes(), 3).await;
+    assert_eq!(cluster.nodes_that_tried(2), [canary]);
+    cluster.assert_versions_never_decrease();
 }
 
-/// A first node has its notice to leave while a version is on trial: that is no harm, and another goes first.
+/// A canary that gets its notice to leave during a trial does not count as failed, and another node becomes the canary.
 #[tokio::test]
-async fn a_first_node_leaves_during_a_trial() {
-    let mut s = Scene::tried_nodes(65, SLOW).await;
-    assert_eq!(s.set(0, &[("acme", 6.0)]).await, Revision(2));
-    let first = s.one_with(2).await;
-    s.leave(first).await;
-    let others: Vec<usize> = s.all_nodes().into_iter().filter(|i| *i != first).collect();
-    s.all(&others, 2).await;
-    let (_, said) = s.config(0, &["where"]).await;
-    assert!(!said.contains("stopped:"), "{said}");
+async fn a_canary_that_drains_during_a_trial_does_not_halt_the_version() {
+    let mut cluster = Cluster::with_nodes_and_catalog(65, LONG_TRIAL).await;
+    assert_eq!(cluster.set_quotas(0, &[("acme", 6.0)]).await, Revision(2));
+    let canary = cluster.first_node_with(2).await;
+    cluster.leave(canary).await;
+    let others: Vec<usize> = cluster.all_nodes().into_iter().filter(|i| *i != canary).collect();
+    cluster.wait_for_version(&others, 2).await;
+    let (_, output) = cluster.config(0, &["where"]).await;
+    assert!(!output.contains("stopped:"), "{output}");
 }
 
-/// A first node is replaced while a version is on trial, so that two processes have its name: that is no harm either.
+/// A canary replaced during a trial, so that two processes have its name for a while, does not count as failed.
 #[tokio::test]
-async fn a_first_node_is_replaced_during_a_trial() {
-    let mut s = Scene::tried_nodes(66, SLOW).await;
-    assert_eq!(s.set(0, &[("acme", 6.0)]).await, Revision(2));
-    let first = s.one_with(2).await;
-    s.replace(first).await;
-    s.all(&s.all_nodes(), 2).await;
-    let (_, said) = s.config(0, &["where"]).await;
-    assert!(!said.contains("stopped:"), "{said}");
+async fn a_canary_replaced_during_a_trial_does_not_halt_the_version() {
+    let mut cluster = Cluster::with_nodes_and_catalog(66, LONG_TRIAL).await;
+    assert_eq!(cluster.set_quotas(0, &[("acme", 6.0)]).await, Revision(2));
+    let canary = cluster.first_node_with(2).await;
+    cluster.replace(canary).await;
+    cluster.wait_for_version(&cluster.all_nodes(), 2).await;
+    let (_, output) = cluster.config(0, &["where"]).await;
+    assert!(!output.contains("stopped:"), "{output}");
 }
--- a/tests/configuration/main.rs
+++ b/tests/configuration/main.rs
@@ -1,5 +1,5 @@
-//! The fleet's configuration over real processes with faults between them: agreed by the keepers, and in force on the nodes.
-//! By order of events: nothing here waits for a time to pass, but for what is to come.
+//! Tests of the versioned configuration over real processes with network faults: the replicas agree on versions and the nodes
+//! adopt them. The tests wait for events, never for a fixed time.
 
 mod faults;
 mod guard;
@@ -13,96 +13,102 @@
 use serde_json::{Value, json};
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// Rigs at a time.
-static ROOM: Semaphore = Semaphore::const_new(3);
+/// Limits how many test clusters run at a time.
+static CLUSTER_PERMITS: Semaphore = Semaphore::const_new(3);
 
-/// A rig, and room for it.
-struct Scene {
+/// A running test cluster and its permit to run.
+struct Cluster {
     rig: Rig,
-    _room: SemaphorePermit<'static>,
+    _permit: SemaphorePermit<'static>,
 }
 
-impl std::ops::Deref for Scene {
+impl std::ops::Deref for Cluster {
     type Target = Rig;
     fn deref(&self) -> &Rig {
         &self.rig
     }
 }
 
-impl std::ops::DerefMut for Scene {
+impl std::ops::DerefMut for Cluster {
     fn deref_mut(&mut self) -> &mut Rig {
         &mut self.rig
     }
 }
 
-impl Scene {
-    /// So many nodes in 4 zones of 2 regions, and 3 keepers; one of them leads. A node that a busy machine keeps from speaking
-    /// for some seconds has not fallen silent.
-    async fn start(nodes: usize, seed: u64) -> Scene {
-        Scene::tried(nodes, seed, "spread_ms = 300\nhold_ms = 300\npatience_ms = 15000\n").await
+impl Cluster {
+    /// Starts nodes in 4 zones of 2 regions and 3 replicas, and waits until a replica leads. The patience of 15 s keeps a node
+    /// that a busy machine delays for some seconds from counting as unresponsive.
+    async fn start(nodes: usize, seed: u64) -> Cluster {
+        Cluster::start_with_catalog(nodes, seed, "spread_ms = 300\nhold_ms = 300\npatience_ms = 15000\n")
+            .await
     }
 
-    /// The same with other lines of the table `[catalog]`.
-    async fn tried(nodes: usize, seed: u64, catalog: &'static str) -> Scene {
-        let room = ROOM.acquire().await.expect("room");
+    /// Like [`Cluster::start`], with these lines in the table `[catalog]`.
+    async fn start_with_catalog(nodes: usize, seed: u64, catalog: &'static str) -> Cluster {
+        let permit = CLUSTER_PERMITS.acquire().await.expect("the semaphore stays open");
         let catalog = Some(catalog);
         let plan = Plan { nodes, zones: 4, regions: 2, seed, catalog, ..Plan::default() };
         let rig = plan.start().await;
-        rig.until("a keeper that leads", async || rig.leader().is_some()).await;
-        Scene { rig, _room: room }
+        rig.until("a replica leads", async || rig.leader().is_some()).await;
+        Cluster { rig, _permit: permit }
     }
 
-    /// An operator beside that process, by its links.
+    /// An operator's client that uses the network links of process `i`.
     fn operator(&self, i: usize) -> ReplicaClient {
-        ReplicaClient::new(&Fleet::load(&self.fleet_file(i), None).expect("a good file"))
+        ReplicaClient::new(&Fleet::load(&self.fleet_file(i), None).expect("the fleet file is valid"))
     }
 
-    /// The versions as the keepers have them now.
+    /// The versions that the replicas list now.
     async fn history(&self, i: usize) -> Vec<VersionSummary> {
-        self.operator(i).history(256).await.expect("a history").0
+        self.operator(i).history(256).await.expect("the history can be fetched").0
     }
 
-    /// Has a change agreed that sets these tenants' quotas, whatever there is.
-    async fn set(&self, i: usize, quotas: &[(&str, f64)]) -> Revision {
+    /// Proposes a change on the newest version that sets these tenants' quotas, and returns its revision.
+    async fn set_quotas(&self, i: usize, quotas: &[(&str, f64)]) -> Revision {
         let client = self.operator(i);
-        let now = client.fetch_latest().await.expect("a whole");
-        client.propose(&quota(&now, quotas)).await.expect("agreed")
+        let now = client.fetch_latest().await.expect("the newest version can be fetched");
+        client.propose(&quota_change(&now, quotas)).await.expect("the change is agreed")
     }
 
-    /// Has the first version agreed, by the command: classes and tenants of the nodes' own files.
-    async fn found(&self) {
-        let file = self.file("first.json", &whole(&[("acme", 50.0), ("other", 0.0)]).to_string());
-        let (good, said) = self.config(0, &["apply", &file.display().to_string(), "--by", "north"]).await;
-        assert!(good && said.contains("agreed: version 1"), "{said}");
+    /// Applies the first version by `holdlift config apply`, with the classes and tenants of the nodes' own files.
+    async fn apply_first_version(&self) {
+        let file = self.file("first.json", &config_file(&[("acme", 50.0), ("other", 0.0)]).to_string());
+        let (success, output) =
+            self.config(0, &["apply", &file.display().to_string(), "--by", "north"]).await;
+        assert!(success && output.contains("agreed: version 1"), "{output}");
     }
 }
 
-/// The file of an operator: the classes of a rig's nodes, and these tenants.
-fn whole(quotas: &[(&str, f64)]) -> Value {
-    let mut s = holdlift_lab::node::settings(8, 2_000, 3_000);
+/// An operator's configuration file with the classes of the nodes and these tenants.
+fn config_file(quotas: &[(&str, f64)]) -> Value {
+    let mut settings = holdlift_lab::node::settings(8, 2_000, 3_000);
     let accounts: Vec<Value> =
         quotas.iter().map(|(n, q)| json!({"name": n, "quota-per-s": q, "share": 1.0})).collect();
-    s["accounts"] = accounts.into();
-    s["domain"]["class-calls"] = json!([true, true, true]);
-    s["domain"]["worth-without"] = json!([0.3, 0.5, 0.0]);
-    s
+    settings["accounts"] = accounts.into();
+    settings["domain"]["class-calls"] = json!([true, true, true]);
+    settings["domain"]["worth-without"] = json!([0.3, 0.5, 0.0]);
+    settings
 }
 
-fn tenant(name: &str, quota: f64) -> Record {
-    let quota_per_s = quota.try_into().expect("a figure");
-    Record::Tenant(TenantRecord { name: Name::new(name).expect("a name"), quota_per_s })
+fn tenant_record(name: &str, quota: f64) -> Record {
+    let quota_per_s = quota.try_into().expect("the quota is within its bounds");
+    Record::Tenant(TenantRecord {
+        name: Name::new(name).expect("the name is within its bounds"),
+        quota_per_s,
+    })
 }
 
-/// The change that sets these tenants' quotas.
-fn quota(now: &ConfigVersion, quotas: &[(&str, f64)]) -> ChangeSet {
-    let set = quotas.iter().map(|(n, q)| tenant(n, *q)).collect();
-    ChangeSet::draft(now, set, Vec::new(), signed("cleo")).expect("a good change")
+/// A change for the version `now` that sets these tenants' quotas.
+fn quota_change(now: &ConfigVersion, quotas: &[(&str, f64)]) -> ChangeSet {
+    let set = quotas.iter().map(|(n, q)| tenant_record(n, *q)).collect();
+    ChangeSet::draft(now, set, Vec::new(), change_author("cleo"))
+        .expect("the change is valid for its base version")
 }
 
-fn signed(author: &str) -> ChangeAuthor {
+fn change_author(author: &str) -> ChangeAuthor {
     ChangeAuthor { author: author.to_owned(), note: "a test".to_owned(), at: 1_800_000_000 }
 }
 
-fn numbers(rows: &[VersionSummary]) -> Vec<u64> {
+fn revision_numbers(rows: &[VersionSummary]) -> Vec<u64> {
     rows.iter().map(|r| r.revision.0).collect()
 }
--- a/tests/configuration/nodes.rs
+++ b/tests/configuration/nodes.rs
@@ -1,303 +1,352 @@
-//! What is in force on the nodes: the newest version on all of them, whatever fails between them and the keepers.
+//! Tests that all nodes adopt the newest version in spite of failures of nodes, of replicas and of the network between them.
 
-use holdlift_lab::rig::net::Fault as Bad;
+use holdlift_lab::rig::net::Fault;
 use holdlift_lab::standin::{Caller, fields};
 
 use super::*;
 
-/// Nodes of a rig.
+/// The number of nodes of a test cluster.
 pub const NODES: usize = 6;
 
-impl Scene {
-    /// Six nodes with the first version in force on all.
-    pub async fn with_nodes(seed: u64) -> Scene {
-        let s = Scene::start(NODES, seed).await;
-        s.found().await;
-        s.all(&s.all_nodes(), 1).await;
-        s
+impl Cluster {
+    /// Starts [`NODES`] nodes, all with version 1 in force.
+    pub async fn with_nodes(seed: u64) -> Cluster {
+        let cluster = Cluster::start(NODES, seed).await;
+        cluster.apply_first_version().await;
+        cluster.wait_for_version(&cluster.all_nodes(), 1).await;
+        cluster
     }
 
-    /// What a node says of the version it has in force.
-    pub async fn version(&self, i: usize) -> Value {
+    /// The part of a node's report that describes its version in force.
+    pub async fn version_report(&self, i: usize) -> Value {
         self.report(i).await.map(|r| r["catalog"].clone()).unwrap_or_default()
     }
 
-    /// Waits until these nodes have that version in force, all with the keepers' digest of it.
-    pub async fn all(&self, nodes: &[usize], revision: u64) {
+    /// Waits until these nodes have that version in force, and asserts that its digest is the one that the replicas list.
+    pub async fn wait_for_version(&self, nodes: &[usize], revision: u64) {
         let what = format!("version {revision} on {nodes:?}");
         self.until(&what, async || {
             for i in nodes {
-                if self.version(*i).await["revision"] != revision {
+                if self.version_report(*i).await["revision"] != revision {
                     return false;
                 }
             }
             true
         })
         .await;
-        let rows = self.history(*nodes.first().expect("a node")).await;
-        let row = rows.iter().find(|r| r.revision == Revision(revision)).expect("it is listed");
+        let rows = self.history(*nodes.first().expect("at least one node is given")).await;
+        let row = rows
+            .iter()
+            .find(|r| r.revision == Revision(revision))
+            .expect("the revision is listed in the history");
         for i in nodes {
-            assert_eq!(self.version(*i).await["digest"], row.digest.to_string(), "node {i}");
+            assert_eq!(self.version_report(*i).await["digest"], row.digest.to_string(), "node {i}");
         }
     }
 
-    /// The versions that a node has had in force, in order, by its log.
-    pub fn past(&self, i: usize) -> Vec<u64> {
+    /// The versions that a node has had in force, in the order of its log.
+    pub fn adopted_versions(&self, i: usize) -> Vec<u64> {
         let log = self.log(&format!("n{i}"));
         let number = |l: &str| l.split(" in force: ").next()?.rsplit(' ').next()?.parse().ok();
         log.lines().filter(|l| l.contains(" in force: ")).filter_map(number).collect()
     }
 
-    /// No node has ever gone back.
-    pub fn only_forward(&self) {
+    /// Asserts that no node has gone back to a lower revision.
+    pub fn assert_versions_never_decrease(&self) {
         for i in self.all_nodes() {
-            let past = self.past(i);
-            // A process that is started again begins anew, with the newest that it can have.
-            assert!(past.is_sorted(), "node {i}: {past:?}");
+            let versions = self.adopted_versions(i);
+            // A restarted process begins with the newest approved version, so the log of all its processes is sorted too.
+            assert!(versions.is_sorted(), "node {i}: {versions:?}");
         }
     }
 }
 
-/// From nothing to a first version, and to a second: all nodes have it, and the keepers know.
+/// All nodes adopt the first and then the second version, and the replicas list them as having it.
 #[tokio::test]
-async fn a_first_change_reaches_all() {
-    let s = Scene::start(NODES, 51).await;
-    assert_eq!(s.version(0).await["revision"], 0, "its own file alone");
-    s.found().await;
-    s.all(&s.all_nodes(), 1).await;
-    assert_eq!(s.set(0, &[("acme", 5.0), ("new", 3.0)]).await, Revision(2));
-    let (good, said) = s.config(0, &["where", "--wait", "60"]).await;
-    assert!(good && said.contains("newest: version 2") && said.contains("version 2: 6 nodes"), "{said}");
-    s.all(&s.all_nodes(), 2).await;
-    assert_eq!(s.version(3).await["tenants"], 3);
-    s.only_forward();
+async fn the_first_changes_reach_all_nodes() {
+    let cluster = Cluster::start(NODES, 51).await;
+    assert_eq!(cluster.version_report(0).await["revision"], 0, "the node has its own file only");
+    cluster.apply_first_version().await;
+    cluster.wait_for_version(&cluster.all_nodes(), 1).await;
+    assert_eq!(cluster.set_quotas(0, &[("acme", 5.0), ("new", 3.0)]).await, Revision(2));
+    let (success, output) = cluster.config(0, &["where", "--wait", "60"]).await;
+    assert!(
+        success && output.contains("newest: version 2") && output.contains("version 2: 6 nodes"),
+        "{output}"
+    );
+    cluster.wait_for_version(&cluster.all_nodes(), 2).await;
+    assert_eq!(cluster.version_report(3).await["tenants"], 3);
+    cluster.assert_versions_never_decrease();
 }
 
-/// A tenant that only the keepers know is one on a node: its requests are taken, where they were turned away before.
+/// A class that only a version defines is served once the version is in force and refused after a rollback. A request held
+/// during the rollback is answered under the class it arrived with.
 #[tokio::test]
-async fn what_is_in_force_is_what_requests_meet() {
-    let s = Scene::with_nodes(52).await;
-    let ask = async |class: &str, n: i128| {
-        let mut c = Caller::connect(s.procs[4].callers.expect("a node")).await;
-        c.ask(n, class, fields(&format!("r-{n}"), &[("project", "acme")]), &format!("1 r-{n}")).await;
-        c.answer().await.expect("an answer").word
+async fn requests_are_handled_by_the_version_in_force() {
+    let cluster = Cluster::with_nodes(52).await;
+    let send_request = async |class: &str, n: i128| {
+        let mut caller =
+            Caller::connect(cluster.procs[4].callers.expect("the process is a node with a caller address"))
+                .await;
+        caller.ask(n, class, fields(&format!("r-{n}"), &[("project", "acme")]), &format!("1 r-{n}")).await;
+        caller.answer().await.expect("the request is answered").word
     };
-    assert_ne!(ask("extra", 1).await, "ok", "no such class yet");
-    let mut file = whole(&[("acme", 50.0)]);
+    assert_ne!(send_request("extra", 1).await, "ok", "the class does not exist yet");
+    let mut file = config_file(&[("acme", 50.0)]);
     let mut extra = file["classes"][0].clone();
     extra["name"] = "extra".into();
-    file["classes"].as_array_mut().expect("a list").push(extra);
-    file["domain"]["class-calls"].as_array_mut().expect("a list").push(false.into());
-    file["domain"]["worth-without"].as_array_mut().expect("a list").push(0.0.into());
-    let path = s.file("extra.json", &file.to_string()).display().to_string();
-    let (good, said) = s.config(0, &["apply", &path, "--base", "1"]).await;
-    assert!(good && said.contains("class: 1 new: extra"), "{said}");
-    s.all(&s.all_nodes(), 2).await;
-    assert_eq!(ask("extra", 2).await, "ok");
-    // Held by the node while its class goes: it is answered under the class it came with.
-    let mut held = Caller::connect(s.procs[4].callers.expect("a node")).await;
+    file["classes"].as_array_mut().expect("the field is a list").push(extra);
+    file["domain"]["class-calls"].as_array_mut().expect("the field is a list").push(false.into());
+    file["domain"]["worth-without"].as_array_mut().expect("the field is a list").push(0.0.into());
+    let path = cluster.file("extra.json", &file.to_string()).display().to_string();
+    let (success, output) = cluster.config(0, &["apply", &path, "--base", "1"]).await;
+    assert!(success && output.contains("class: 1 new: extra"), "{output}");
+    cluster.wait_for_version(&cluster.all_nodes(), 2).await;
+    assert_eq!(send_request("extra", 2).await, "ok");
+    // The node holds this request while its class is removed.
+    let mut held =
+        Caller::connect(cluster.procs[4].callers.expect("the process is a node with a caller address")).await;
     held.ask(3, "extra", fields("r-3", &[("project", "acme")]), "gate r-3").await;
-    let farm = s.farms.of(4);
-    s.until("it runs", async || farm.running.load(std::sync::atomic::Ordering::SeqCst) == 1).await;
-    let (good, said) = s.config(0, &["rollback", "1"]).await;
-    assert!(good, "{said}");
-    s.all(&s.all_nodes(), 3).await;
-    assert_ne!(ask("extra", 4).await, "ok", "no such class any more");
-    farm.open_gate();
-    assert_eq!(held.answer().await.expect("an answer").word, "ok");
-    s.only_forward();
+    let standin = cluster.farms.of(4);
+    cluster
+        .until("the held request runs", async || {
+            standin.running.load(std::sync::atomic::Ordering::SeqCst) == 1
+        })
+        .await;
+    let (success, output) = cluster.config(0, &["rollback", "1"]).await;
+    assert!(success, "{output}");
+    cluster.wait_for_version(&cluster.all_nodes(), 3).await;
+    assert_ne!(send_request("extra", 4).await, "ok", "the class no longer exists");
+    standin.open_gate();
+    assert_eq!(held.answer().await.expect("the request is answered").word, "ok");
+    cluster.assert_versions_never_decrease();
 }
 
-/// The leading keeper has a change agreed and is killed before it tells anybody: all nodes get it from the others.
+/// The leading replica is killed after a change is agreed and before it notifies any node: all nodes get the change from the
+/// other replicas.
 #[tokio::test]
-async fn the_leading_keeper_is_killed_before_it_tells_the_nodes() {
-    let mut s = Scene::with_nodes(53).await;
-    let leader = s.leader().expect("a leader");
-    let client = s.operator(0);
-    let now = client.fetch_latest().await.expect("a whole");
-    s.net.one_way(&[leader], &s.all_nodes(), Bad::CUT);
-    let change = quota(&now, &[("acme", 7.0)]);
-    let asking = std::thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+async fn all_nodes_get_a_change_whose_leader_is_killed_before_it_notifies_them() {
+    let mut cluster = Cluster::with_nodes(53).await;
+    let leader = cluster.leader().expect("a replica leads");
+    let client = cluster.operator(0);
+    let now = client.fetch_latest().await.expect("the newest version can be fetched");
+    cluster.net.one_way(&[leader], &cluster.all_nodes(), Fault::CUT);
+    let change = quota_change(&now, &[("acme", 7.0)]);
+    let proposing = std::thread::spawn(move || {
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("the Tokio runtime builds");
         runtime.block_on(client.propose(&change)).is_ok()
     });
-    s.until("agreed", async || {
-        s.keepers().iter().filter(|k| s.log(&s.procs[**k].name).contains("version 2")).count() == 3
-    })
-    .await;
-    s.kill(leader);
-    s.all(&s.all_nodes(), 2).await;
-    assert!(!asking.join().expect("no panic"), "the operator was not told");
-    s.only_forward();
+    cluster
+        .until("all replicas log version 2", async || {
+            cluster
+                .keepers()
+                .iter()
+                .filter(|k| cluster.log(&cluster.procs[**k].name).contains("version 2"))
+                .count()
+                == 3
+        })
+        .await;
+    cluster.kill(leader);
+    cluster.wait_for_version(&cluster.all_nodes(), 2).await;
+    assert!(
+        !proposing.join().expect("the proposing thread does not panic"),
+        "the proposal is not confirmed to the operator"
+    );
+    cluster.assert_versions_never_decrease();
 }
 
-/// Back to the first version's records, as a third one, on all nodes; never by a lower number.
+/// A rollback to version 1 reaches all nodes as version 3 with the records of version 1; the revision never decreases.
 #[tokio::test]
-async fn a_rollback_reaches_all_as_a_new_version() {
-    let s = Scene::with_nodes(54).await;
-    let first = s.version(2).await["digest"].clone();
-    assert_eq!(s.set(0, &[("acme", 1.0), ("more", 1.0)]).await, Revision(2));
-    s.all(&s.all_nodes(), 2).await;
-    let (good, said) = s.config(1, &["rollback", "1"]).await;
-    assert!(good && said.contains("version 3"), "{said}");
-    s.all(&s.all_nodes(), 3).await;
-    for i in s.all_nodes() {
-        assert_eq!(s.version(i).await["digest"], first);
-        assert_eq!(s.past(i), [1, 2, 3]);
+async fn a_rollback_reaches_all_nodes_as_a_new_version() {
+    let cluster = Cluster::with_nodes(54).await;
+    let first_digest = cluster.version_report(2).await["digest"].clone();
+    assert_eq!(cluster.set_quotas(0, &[("acme", 1.0), ("more", 1.0)]).await, Revision(2));
+    cluster.wait_for_version(&cluster.all_nodes(), 2).await;
+    let (success, output) = cluster.config(1, &["rollback", "1"]).await;
+    assert!(success && output.contains("version 3"), "{output}");
+    cluster.wait_for_version(&cluster.all_nodes(), 3).await;
+    for i in cluster.all_nodes() {
+        assert_eq!(cluster.version_report(i).await["digest"], first_digest);
+        assert_eq!(cluster.adopted_versions(i), [1, 2, 3]);
     }
 }
 
-/// A node is stopped while the others go on, is named as the one that lags, and comes to the newest when it goes on.
+/// A node that is paused while versions are agreed is the only one listed as lagging, and adopts the newest version when it
+/// resumes.
 #[tokio::test]
-async fn a_stopped_node_is_named_and_catches_up() {
-    let s = Scene::with_nodes(55).await;
-    s.stop(2);
+async fn a_paused_node_is_listed_as_lagging_and_catches_up() {
+    let cluster = Cluster::with_nodes(55).await;
+    cluster.stop(2);
     for n in 2..=4u32 {
-        assert_eq!(s.set(0, &[("acme", f64::from(n))]).await, Revision(u64::from(n)));
+        assert_eq!(cluster.set_quotas(0, &[("acme", f64::from(n))]).await, Revision(u64::from(n)));
     }
-    s.all(&[0, 1, 3, 4, 5], 4).await;
-    s.until("it is named", async || {
-        let (_, said) = s.config(0, &["where"]).await;
-        said.contains("lags: n2 at version 1") && said.matches("lags:").count() == 1
-    })
-    .await;
-    s.go_on(2);
-    s.all(&s.all_nodes(), 4).await;
-    let (good, said) = s.config(0, &["where", "--wait", "60"]).await;
-    assert!(good && !said.contains("lags:"), "{said}");
-    s.only_forward();
+    cluster.wait_for_version(&[0, 1, 3, 4, 5], 4).await;
+    cluster
+        .until("the paused node is listed as lagging", async || {
+            let (_, output) = cluster.config(0, &["where"]).await;
+            output.contains("lags: n2 at version 1") && output.matches("lags:").count() == 1
+        })
+        .await;
+    cluster.go_on(2);
+    cluster.wait_for_version(&cluster.all_nodes(), 4).await;
+    let (success, output) = cluster.config(0, &["where", "--wait", "60"]).await;
+    assert!(success && !output.contains("lags:"), "{output}");
+    cluster.assert_versions_never_decrease();
 }
 
-/// A node that starts has the newest version when it takes its first client, and not some time later.
+/// A node has the newest approved version when it accepts its first client. Without any replica it starts with its own file and
+/// logs that.
 #[tokio::test]
-async fn a_cold_node_serves_with_the_newest() {
-    let mut s = Scene::with_nodes(56).await;
-    s.kill(3);
+async fn a_starting_node_has_the_newest_approved_version_before_it_serves() {
+    let mut cluster = Cluster::with_nodes(56).await;
+    cluster.kill(3);
     let names: Vec<String> = (0..500).map(|n| format!("tenant-{n}")).collect();
     let many: Vec<(&str, f64)> = names.iter().map(|n| (n.as_str(), 5.0)).collect();
-    assert_eq!(s.set(0, &many).await, Revision(2));
-    assert_eq!(s.set(0, &[("acme", 9.0)]).await, Revision(3));
-    // The newest that all may have: the others have lived with it.
-    s.all(&[0, 1, 2, 4, 5], 3).await;
-    s.restart(3);
-    s.ready(3).await;
-    let first = s.version(3).await;
+    assert_eq!(cluster.set_quotas(0, &many).await, Revision(2));
+    assert_eq!(cluster.set_quotas(0, &[("acme", 9.0)]).await, Revision(3));
+    // The version is approved, since the other nodes have run with it.
+    cluster.wait_for_version(&[0, 1, 2, 4, 5], 3).await;
+    cluster.restart(3);
+    cluster.ready(3).await;
+    let first = cluster.version_report(3).await;
     assert_eq!((first["revision"].as_u64(), first["tenants"].as_u64()), (Some(3), Some(502)), "{first}");
-    // And with no keeper at all it serves with its own file, and says so.
-    s.keepers().into_iter().for_each(|k| s.kill(k));
-    s.restart(3);
-    s.ready(3).await;
-    assert_eq!(s.version(3).await["revision"], 0);
-    assert!(s.log("n3").contains("starts with its own file"));
-    s.keepers().into_iter().for_each(|k| s.restart(k));
-    s.all(&s.all_nodes(), 3).await;
+    // Without any replica the node serves with its own file and logs that.
+    cluster.keepers().into_iter().for_each(|k| cluster.kill(k));
+    cluster.restart(3);
+    cluster.ready(3).await;
+    assert_eq!(cluster.version_report(3).await["revision"], 0);
+    assert!(cluster.log("n3").contains("starts with its own file"));
+    cluster.keepers().into_iter().for_each(|k| cluster.restart(k));
+    cluster.wait_for_version(&cluster.all_nodes(), 3).await;
 }
 
-/// A start that runs out of time while it takes an answer in serves with its file, and comes to the newest all the same.
+/// A node whose startup fetch times out while it processes a response serves with its own file and adopts the newest version
+/// afterwards.
 #[tokio::test]
-async fn a_start_that_runs_out_of_time_half_way_is_made_up_for() {
-    let room = ROOM.acquire().await.expect("room");
+async fn a_node_whose_startup_fetch_times_out_serves_its_file_and_catches_up() {
+    let permit = CLUSTER_PERMITS.acquire().await.expect("the semaphore stays open");
     let rig = Plan { nodes: 1, seed: 59, catalog: Some("spread_ms = 0\n"), ..Plan::default() }.start().await;
-    let mut s = Scene { rig, _room: room };
-    s.until("a keeper that leads", async || s.leader().is_some()).await;
-    s.found().await;
+    let mut cluster = Cluster { rig, _permit: permit };
+    cluster.until("a replica leads", async || cluster.leader().is_some()).await;
+    cluster.apply_first_version().await;
     let names: Vec<String> = (0..12_000).map(|n| format!("tenant-{n}")).collect();
     let many: Vec<(&str, f64)> = names.iter().map(|n| (n.as_str(), 5.0)).collect();
-    assert_eq!(s.set(0, &many).await, Revision(2));
-    s.all(&[0], 2).await;
-    // It goes first, as there is no other: killed before it has lived with the version, it would have died of it.
-    s.until("all may have it", async || {
-        let (_, said) = s.config(0, &["where", "--json"]).await;
-        serde_json::from_str::<Value>(&said).is_ok_and(|w| w["good"] == 2)
-    })
-    .await;
-    let file = s.fleet_file(0);
-    let text = std::fs::read_to_string(&file).expect("a file");
-    let head = text.split("[catalog]").next().expect("all before that table").to_owned();
-    let mut alone = 0;
-    // Some of them run out while chunks are taken in, on machines of many speeds.
+    assert_eq!(cluster.set_quotas(0, &many).await, Revision(2));
+    cluster.wait_for_version(&[0], 2).await;
+    // The only node is the canary. If it were killed before the version is approved, that would count as a failure of the
+    // version.
+    cluster
+        .until("version 2 is approved", async || {
+            let (_, output) = cluster.config(0, &["where", "--json"]).await;
+            serde_json::from_str::<Value>(&output).is_ok_and(|w| w["good"] == 2)
+        })
+        .await;
+    let file = cluster.fleet_file(0);
+    let text = std::fs::read_to_string(&file).expect("the fleet file is readable");
+    let head =
+        text.split("[catalog]").next().expect("the file has a head before the table [catalog]").to_owned();
+    let mut timed_out_starts = 0;
+    // The range of timeouts makes some of them expire while chunks are processed, on fast and on slow machines.
     for ms in [20, 40, 60, 80, 120, 160, 240, 320, 480, 640, 960] {
-        s.kill(0);
-        std::fs::write(&file, format!("{head}[catalog]\nspread_ms = 0\nstart_ms = {ms}\n")).expect("a file");
-        s.restart(0);
-        s.ready(0).await;
-        alone += usize::from(s.version(0).await["revision"] != 2);
-        s.all(&[0], 2).await;
+        cluster.kill(0);
+        std::fs::write(&file, format!("{head}[catalog]\nspread_ms = 0\nstart_ms = {ms}\n"))
+            .expect("the fleet file can be written");
+        cluster.restart(0);
+        cluster.ready(0).await;
+        timed_out_starts += usize::from(cluster.version_report(0).await["revision"] != 2);
+        cluster.wait_for_version(&[0], 2).await;
     }
-    assert!(alone > 0, "none ran out of time");
+    assert!(timed_out_starts > 0, "no startup fetch timed out");
 }
 
-/// Two regions lose each other: the one with a majority of keepers goes on, the other with what it has, and says since when;
-/// its operators are told. Behind it all come to the same.
+/// During a partition of two regions the one with a majority of replicas agrees on changes. The other keeps its version, and its
+/// operators are told that no replica leads. After the partition all nodes converge.
 #[tokio::test]
-async fn regions_that_lose_each_other() {
-    let s = Scene::with_nodes(57).await;
-    let (far, near) = s.region(1);
-    assert_eq!((&far[..], &near[..]), (&[1, 3, 5, 7][..], &[0, 2, 4, 6, 8][..]), "two keepers are near");
-    s.net.between(&far, &near, Bad::CUT);
-    let mut done = None;
-    s.until("the near region goes on", async || {
-        let client = s.operator(0);
-        if let Ok(now) = client.fetch_latest().await {
-            done = client.propose(&quota(&now, &[("acme", 4.0)])).await.ok();
-        }
-        done.is_some()
-    })
-    .await;
-    assert_eq!(done, Some(Revision(2)));
-    s.all(&[0, 2, 4], 2).await;
-    let (good, said) = s.config(1, &["rollback", "1"]).await;
-    assert!(!good && said.contains("no keeper that leads"), "{said}");
+async fn only_the_region_with_a_replica_majority_changes_during_a_partition() {
+    let cluster = Cluster::with_nodes(57).await;
+    let (far, near) = cluster.region(1);
+    assert_eq!(
+        (&far[..], &near[..]),
+        (&[1, 3, 5, 7][..], &[0, 2, 4, 6, 8][..]),
+        "two of the three replicas are in the near region"
+    );
+    cluster.net.between(&far, &near, Fault::CUT);
+    let mut agreed = None;
+    cluster
+        .until("the near region agrees on a change", async || {
+            let client = cluster.operator(0);
+            if let Ok(now) = client.fetch_latest().await {
+                agreed = client.propose(&quota_change(&now, &[("acme", 4.0)])).await.ok();
+            }
+            agreed.is_some()
+        })
+        .await;
+    assert_eq!(agreed, Some(Revision(2)));
+    cluster.wait_for_version(&[0, 2, 4], 2).await;
+    let (success, output) = cluster.config(1, &["rollback", "1"]).await;
+    assert!(!success && output.contains("no keeper that leads"), "{output}");
     for i in [1, 3, 5] {
-        let here = s.version(i).await;
-        assert_eq!(here["revision"], 1, "what it had");
+        let report = cluster.version_report(i).await;
+        assert_eq!(report["revision"], 1, "the node keeps its version");
     }
-    s.net.heal();
-    s.all(&s.all_nodes(), 2).await;
-    let (good, said) = s.config(1, &["where", "--wait", "60"]).await;
-    assert!(good, "{said}");
-    s.only_forward();
+    cluster.net.heal();
+    cluster.wait_for_version(&cluster.all_nodes(), 2).await;
+    let (success, output) = cluster.config(1, &["where", "--wait", "60"]).await;
+    assert!(success, "{output}");
+    cluster.assert_versions_never_decrease();
 }
 
-/// A file is read again in the same moment as a version comes: what the keepers hold wins for classes and tenants, all else is
-/// the file's, and that the file says otherwise is said and counted.
+/// A settings file is reloaded while a version arrives: the version wins for classes and tenants, the file for all else, and
+/// the disagreement is logged and counted.
 #[tokio::test]
-async fn a_reload_in_the_same_moment() {
-    let s = Scene::with_nodes(58).await;
+async fn a_reload_concurrent_with_a_version_keeps_the_agreed_classes_and_tenants() {
+    let cluster = Cluster::with_nodes(58).await;
     for n in 2..=6u32 {
         let quota = f64::from(n);
-        assert_eq!(s.set(0, &[("acme", quota)]).await, Revision(u64::from(n)));
-        // A signal while a file is read has it read once more, however many they are.
-        s.until("the file before is read", async || s.version(1).await["file_disagreed"] == n - 2).await;
-        s.retell(1, |config| {
+        assert_eq!(cluster.set_quotas(0, &[("acme", quota)]).await, Revision(u64::from(n)));
+        // Signals that arrive while a file is read cause only one more read, so each reload waits for the one before.
+        cluster
+            .until("the previous reload is counted", async || {
+                cluster.version_report(1).await["file_disagreed"] == n - 2
+            })
+            .await;
+        cluster.retell(1, |config| {
             config["settings"]["accounts"][0]["quota-per-s"] = (quota + 0.5).into();
             config["settings"]["over-share-worth"] = (quota / 10.0).into();
         });
     }
-    s.all(&s.all_nodes(), 6).await;
-    s.until("each reading is counted", async || s.version(1).await["file_disagreed"] == 5).await;
-    assert_eq!(s.version(0).await["file_disagreed"], 0);
-    assert!(s.log("n1").contains("the file says otherwise than version"));
-    s.all(&s.all_nodes(), 6).await;
-    s.only_forward();
+    cluster.wait_for_version(&cluster.all_nodes(), 6).await;
+    cluster
+        .until("each of the five reloads is counted", async || {
+            cluster.version_report(1).await["file_disagreed"] == 5
+        })
+        .await;
+    assert_eq!(cluster.version_report(0).await["file_disagreed"], 0);
+    assert!(cluster.log("n1").contains("the file says otherwise than version"));
+    cluster.wait_for_version(&cluster.all_nodes(), 6).await;
+    cluster.assert_versions_never_decrease();
 }
 
-/// A change of 5,000 records, and a hundred small ones in a row: all nodes come to the newest, by fewer steps or by all.
+/// After one change of 5,000 records and a hundred small ones in a row all nodes adopt the newest version, with or without
+/// the intermediate ones.
 #[tokio::test]
-async fn many_records_and_many_changes() {
-    let s = Scene::with_nodes(60).await;
+async fn all_nodes_converge_after_one_large_change_and_many_small_ones() {
+    let cluster = Cluster::with_nodes(60).await;
     let names: Vec<String> = (0..5_000).map(|n| format!("tenant-{n}")).collect();
     let many: Vec<(&str, f64)> = names.iter().map(|n| (n.as_str(), 5.0)).collect();
-    assert_eq!(s.set(0, &many).await, Revision(2));
-    s.all(&s.all_nodes(), 2).await;
-    let client = s.operator(1);
-    let mut now = client.fetch_latest().await.expect("a whole");
+    assert_eq!(cluster.set_quotas(0, &many).await, Revision(2));
+    cluster.wait_for_version(&cluster.all_nodes(), 2).await;
+    let client = cluster.operator(1);
+    let mut now = client.fetch_latest().await.expect("the newest version can be fetched");
     for n in 0..100u32 {
-        let change = quota(&now, &[("acme", f64::from(n))]);
-        assert_eq!(client.propose(&change).await.expect("agreed"), Revision(u64::from(n) + 3));
-        now.apply(&change).expect("it fits");
+        let change = quota_change(&now, &[("acme", f64::from(n))]);
+        assert_eq!(client.propose(&change).await.expect("the change is agreed"), Revision(u64::from(n) + 3));
+        now.apply(&change).expect("the change applies to the version it was drafted for");
     }
-    s.all(&s.all_nodes(), 102).await;
-    assert_eq!(s.version(5).await["tenants"], 5_002);
-    s.only_forward();
+    cluster.wait_for_version(&cluster.all_nodes(), 102).await;
+    assert_eq!(cluster.version_report(5).await["tenants"], 5_002);
+    cluster.assert_versions_never_decrease();
 }
--- a/tests/golden_replica.rs
+++ b/tests/golden_replica.rs
@@ -1,5 +1,5 @@
-//! The program on a data folder that was written by the program of commit b89e4bc: a replica started on a copy of it serves
-//! operators the same versions, and has a former one agreed.
+//! Compatibility of stored data: a replica started on a copy of a data folder written by the build of commit b89e4bc serves the
+//! same versions and can roll back to an old one.
 
 use std::io::Read;
 use std::net::TcpListener;
@@ -9,7 +9,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_holdlift");
 const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/replica-b89e4bc");
 
-/// A replica on a copy of the fixture; it ends, and its folder goes, with the test.
+/// A replica process on a copy of the fixture; dropping it kills the process and deletes its folder.
 struct Replica {
     folder: PathBuf,
     child: Child,
@@ -19,36 +19,43 @@
     fn start(name: &str) -> Replica {
         let folder = std::env::temp_dir().join(format!("holdlift-golden-{name}-{}", std::process::id()));
         let data = folder.join("data");
-        std::fs::create_dir_all(&data).expect("a folder");
-        let packed = std::fs::File::open(Path::new(FIXTURE).join("book.redb.gz")).expect("the fixture");
+        std::fs::create_dir_all(&data).expect("the data folder can be created");
+        let packed = std::fs::File::open(Path::new(FIXTURE).join("book.redb.gz"))
+            .expect("the fixture's database can be opened");
         let mut bytes = Vec::new();
-        flate2::read::GzDecoder::new(packed).read_to_end(&mut bytes).expect("whole");
-        std::fs::write(data.join("book.redb"), bytes).expect("a file");
-        let port = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port").port();
-        let fleet = std::fs::read_to_string(Path::new(FIXTURE).join("fleet.toml")).expect("a file");
+        flate2::read::GzDecoder::new(packed).read_to_end(&mut bytes).expect("the fixture's database unpacks");
+        std::fs::write(data.join("book.redb"), bytes).expect("the database copy can be written");
+        let port =
+            TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port exists").port();
+        let fleet = std::fs::read_to_string(Path::new(FIXTURE).join("fleet.toml"))
+            .expect("the fixture's fleet file is readable");
         let fleet = fleet.replace("127.0.0.1:7501", &format!("127.0.0.1:{port}"));
-        std::fs::write(folder.join("fleet.toml"), fleet).expect("a file");
-        let log = std::fs::File::create(folder.join("log")).expect("a file");
+        std::fs::write(folder.join("fleet.toml"), fleet).expect("the fleet file can be written");
+        let log = std::fs::File::create(folder.join("log")).expect("the log file can be created");
         let mut command = Command::new(PROGRAM);
         command.args(["keeper", "k1", "--data"]).arg(&data).arg("--fleet").arg(folder.join("fleet.toml"));
-        let child =
-            command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn().expect("it starts");
+        let child = command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log)
+            .spawn()
+            .expect("the replica process starts");
         Replica { folder, child }
     }
 
-    /// What `holdlift config` prints.
-    fn config(&self, words: &[&str]) -> String {
+    /// Runs `holdlift config` and returns its standard output.
+    fn run_config(&self, args: &[&str]) -> String {
         let mut command = Command::new(PROGRAM);
-        command.arg("config").args(words).arg("--fleet").arg(self.folder.join("fleet.toml"));
-        let out = command.output().expect("it runs");
-        let said = String::from_utf8_lossy(&out.stdout).into_owned();
+        command.arg("config").args(args).arg("--fleet").arg(self.folder.join("fleet.toml"));
+        let output = command.output().expect("the config command runs");
+        let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
         let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
         assert!(
-            out.status.success(),
-            "{words:?}: {said}{}\nthe replica: {log}",
-            String::from_utf8_lossy(&out.stderr)
+            output.status.success(),
+            "{args:?}: {stdout}{}\nthe replica: {log}",
+            String::from_utf8_lossy(&output.stderr)
         );
-        said
+        stdout
     }
 }
 
@@ -61,29 +68,29 @@
 }
 
 fn fixture(name: &str) -> String {
-    std::fs::read_to_string(Path::new(FIXTURE).join(name)).expect("a file of the fixture")
+    std::fs::read_to_string(Path::new(FIXTURE).join(name)).expect("the fixture's file is readable")
 }
 
-/// The rows of the history, and the newest version as a file, are those that the program of that commit printed.
+/// The history and the exported newest version are those that the build of that commit printed.
 #[test]
-fn a_replica_on_a_former_programs_folder_serves_its_versions() {
+fn a_replica_on_the_data_folder_of_an_older_build_serves_its_versions() {
     let replica = Replica::start("serves");
-    assert_eq!(replica.config(&["history"]), fixture("history.txt"));
-    assert_eq!(replica.config(&["export"]), fixture("export.txt"));
+    assert_eq!(replica.run_config(&["history"]), fixture("history.txt"));
+    assert_eq!(replica.run_config(&["export"]), fixture("export.txt"));
 }
 
-/// The second version, which lies in the snapshot alone, comes back as the sixth with the same digest.
+/// A rollback to version 2, which only the stored snapshot holds, becomes version 6 with the digest of version 2.
 #[test]
-fn a_replica_on_a_former_programs_folder_goes_back_to_a_former_version() {
+fn a_replica_on_the_data_folder_of_an_older_build_rolls_back() {
     let replica = Replica::start("rollback");
-    let said = replica.config(&["rollback", "2", "--by", "north", "--note", "golden"]);
-    assert_eq!(said, "agreed: version 6 has the records of version 2\n");
-    let rows = replica.config(&["history"]);
+    let stdout = replica.run_config(&["rollback", "2", "--by", "north", "--note", "golden"]);
+    assert_eq!(stdout, "agreed: version 6 has the records of version 2\n");
+    let rows = replica.run_config(&["history"]);
     let column = |row: usize, n: usize| rows.lines().nth(row).and_then(|r| r.split_whitespace().nth(n));
     assert_eq!((column(5, 0), column(1, 0)), (Some("6"), Some("2")), "{rows}");
     assert_eq!(column(5, 1), column(1, 1), "{rows}");
-    let former = fixture("history.txt");
-    for (row, was) in rows.lines().zip(former.lines()).take(5) {
-        assert_eq!(row, was);
+    let expected_rows = fixture("history.txt");
+    for (row, expected) in rows.lines().zip(expected_rows.lines()).take(5) {
+        assert_eq!(row, expected);
     }
 }
