--- a/src/runtime/agent_link.rs
+++ b/src/runtime/agent_link.rs
@@ -45,20 +45,20 @@
         let Some(target) = *address.borrow_and_update() else { return };
         let connected = tokio::select! {
             connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(target)) => connected,
-            is_open = link_ended(link_number, &mut link, &events) => if is_open { continue } else { return },
+            is_loop_running = link_ended(link_number, &mut link, &events) => if is_loop_running { continue } else { return },
             moved = address.changed() => if moved.is_ok() { continue } else { return },
         };
         if let Ok(Ok(stream)) = connected {
             link_number += 1;
             link = Some(Box::pin(run_link(link_number, stream, events.clone())));
             tokio::select! {
-                is_open = link_ended(link_number, &mut link, &events) => if !is_open { return },
+                is_loop_running = link_ended(link_number, &mut link, &events) => if !is_loop_running { return },
                 moved = address.changed() => if moved.is_ok() { continue } else { return },
             }
         }
         tokio::select! {
             () = sleep(RECONNECT_INTERVAL) => {}
-            is_open = link_ended(link_number, &mut link, &events) => if !is_open { return },
+            is_loop_running = link_ended(link_number, &mut link, &events) => if !is_loop_running { return },
         }
     }
 }
