--- a/src/config/edge.rs
+++ b/src/config/edge.rs
@@ -325,7 +325,7 @@
         Ok(())
     }
 
-    /// Limit on open connections of callers; at least [`RESERVED_DESCRIPTORS`] stay free. Callers open at most half of the
+    /// Limit on open connections of callers; at least `RESERVED_DESCRIPTORS` stay free. Callers open at most half of the
     /// descriptors, and other peers add to that. A quarter is left for sockets that this process opens. Where there are
     /// other listeners, they get an eighth, or as many as they ask for.
     pub fn caller_connections_max(&self, sockets: usize) -> usize {
